--- a/packages/kitekeel-daemon/src/kitekeel_daemon/crash_guard.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/crash_guard.py
@@ -1,7 +1,8 @@
-"""Keeps requests that end back ends away from them, with what all daemons together have seen.
+"""Quarantines requests that crash back ends, based on the observations of all daemons.
 
-A request is known again by its identity. It is refused at once while it is quarantined, but for a
-few careful tries of the whole fleet: after a while, and at a version of the software that is new.
+Retries of a request are recognized by its identity. A quarantined request is refused at once, with
+the exception of a few careful tries, each granted once in the whole fleet: one after a delay, and
+one for each software version that it is not known to crash.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 
 class Admission(enum.Enum):
-    """What may be done with a request: send it, try it once with care, or refuse it."""
+    """Whether a request may be sent freely, may be sent once as a careful try, or is refused."""
 
     FREE = "free"
     ONE_TRY = "one-try"
@@ -53,8 +54,8 @@
     """The guard's decision about a request.
 
     Attributes:
-        identity: empty where nothing is known of the request.
-        careful_try: the one that it may have now, where it is quarantined.
+        identity: empty if no crash record can match the request.
+        careful_try: the careful try granted to a quarantined request; ``None`` if there is none.
     """
 
     admission: Admission
@@ -63,13 +64,14 @@
 
 
 _FREE = Verdict(Admission.FREE)
-# A try may end a back end: callers of a service that has fewer would lose half of it or more.
-_LEAST_BACK_ENDS_FOR_A_TRY = 3
+# A careful try may crash a back end. With fewer back ends, that would take away at least half of
+# the service.
+_MIN_BACK_ENDS_FOR_TRY = 3
 _CLAIM_PAUSE_SECONDS = 2.0
 
 
 class CrashGuard:
-    """Decides about requests by one daemon's ledger; used on one event loop."""
+    """Admits or refuses requests by this daemon's crash ledger; used on one event loop."""
 
     def __init__(
         self,
@@ -89,7 +91,7 @@
         self._store_sync: CrashRecordSync | None = None
         self._clock = clock
         self._claims: dict[str, asyncio.Task[None]] = {}
-        self._permits: dict[str, CarefulTry] = {}
+        self._granted_tries: dict[str, CarefulTry] = {}
 
     def share(
         self,
@@ -99,7 +101,7 @@
         generator: random.Random,
         on_failure: Callable[[str, str], None],
     ) -> None:
-        """Share what is known with the other daemons; see :class:`CrashExchange`."""
+        """Start sharing crash records with the other daemons; see :class:`CrashExchange`."""
         loop = asyncio.get_running_loop()
         self._exchange = CrashExchange(self.ledger, client, table, loop, generator, on_failure)
         self._exchange.register(server)
@@ -112,7 +114,7 @@
         on_dependency: Callable[[str, bool, str], None],
         on_finding: Callable[[DocumentFinding], None],
     ) -> None:
-        """Keep in the store what must outlast the daemons; see :class:`CrashRecordSync`."""
+        """Start storing records that must outlive the daemons; see :class:`CrashRecordSync`."""
         self._store_sync = CrashRecordSync(
             store,
             self.ledger,
@@ -124,7 +126,7 @@
         )
 
     def close(self) -> None:
-        """Tell the other daemons nothing any more."""
+        """Stop sending records to the other daemons."""
         if self._exchange is not None:
             self._exchange.close()
 
@@ -138,27 +140,27 @@
         return list(found)
 
     def admit(self, request: ProxiedRequest, service: str) -> Verdict:
-        """Return what may be done with a request before it is sent, for the first time or again.
+        """Decide whether a request may be sent; called before each send.
 
-        A careful try is handed out once; :meth:`give_back` returns one that was not sent.
+        A granted careful try is returned only once; :meth:`give_back` returns it unused.
         """
         if not self.ledger.may_know(identify_target(request)):
             return _FREE
         identity = identify(request, self._names)
         if not self.ledger.is_quarantined(identity):
             return Verdict(Admission.FREE, identity)
-        permit = self._permits.pop(identity, None)
+        permit = self._granted_tries.pop(identity, None)
         if permit is not None:
             return Verdict(Admission.ONE_TRY, identity, permit)
-        self._claim_a_try(identity, service)
+        self._claim_try(identity, service)
         return Verdict(Admission.REFUSED, identity)
 
     def give_back(self, identity: str, careful_try: CarefulTry) -> None:
-        """Take back a careful try for which no back end was to be had."""
-        self._permits[identity] = careful_try
+        """Take back a careful try that was not used because no back end was available."""
+        self._granted_tries[identity] = careful_try
 
     def note_answered(self, request: ProxiedRequest) -> None:
-        """Note that a back end answered a request whole, and not with a failure."""
+        """Note that a back end answered a request completely and without a server error."""
         self.ledger.note_answered(identify(request, self._names))
 
     def _on_end(self, identity: str, record: BackEndRecord) -> None:
@@ -168,7 +170,7 @@
     def _on_change(self, change: LedgerChange) -> None:
         record = change.record
         self._metrics.increment(f"crashes.records-{change.source.partition(' ')[0]}")
-        self._tell(change)
+        self._log_change(change)
         if self._exchange is not None:
             self._exchange.tell(record)
         if self._store_sync is None:
@@ -178,8 +180,12 @@
         elif change.source.startswith("peer"):
             self._store_sync.note_heard(change)
 
-    def _tell(self, change: LedgerChange) -> None:
-        """Log a change; mere suspects of others have lines at those who found them."""
+    def _log_change(self, change: LedgerChange) -> None:
+        """Log a change of a crash record.
+
+        A change from another daemon is logged only if the request is or was quarantined, since the
+        daemon that made the observation logs it too.
+        """
         record = change.record
         is_verdict = change.is_quarantined or change.was_quarantined
         if change.source not in (OWN, OPERATOR) and not is_verdict:
@@ -196,15 +202,15 @@
             )
         )
 
-    def _claim_a_try(self, identity: str, service: str) -> None:
-        """Ask for the next careful try of the fleet, for when the caller comes again."""
+    def _claim_try(self, identity: str, service: str) -> None:
+        """Start to claim the next careful try, to be used when the caller retries."""
         record = self.ledger.find(identity)
         if record is None or identity in self._claims or self._store_sync is None:
             return
         usable = [
             each for each in self._view.back_ends(service).values() if self._view.may_receive(each)
         ]
-        if len(usable) < _LEAST_BACK_ENDS_FOR_A_TRY:
+        if len(usable) < _MIN_BACK_ENDS_FOR_TRY:
             return
         versions = {each.version for each in usable}
         found = find_try(record, versions, self._clock.wall())
@@ -220,7 +226,7 @@
         is_granted = await store_sync.claim_try(identity, wanted.reason)
         self._log.state(CrashTryClaimed(identity, wanted.reason, is_granted))
         if is_granted:
-            self._permits[identity] = wanted
+            self._granted_tries[identity] = wanted
             return
-        # Meanwhile no other claim is made for it, however often its caller comes.
+        # While this task runs, retries of the request start no further claim.
         await asyncio.sleep(_CLAIM_PAUSE_SECONDS)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/process_ends.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/process_ends.py
@@ -1,8 +1,9 @@
-"""Tells the end of a back end's process under a request from a connection that merely broke.
+"""Distinguishes the end of a back end's process during a request from a broken connection.
 
-An exchange that breaks off says little: the back end may have closed the connection, spoilt the
-answer, or be cut off. That its process is gone shows at once where the next connection is refused,
-and later where another process answers there or the same name registers with a later start.
+A broken exchange alone is no proof: the back end may have closed the connection, sent an invalid
+answer, or be unreachable. Its process is known to be gone if it refuses the next connection at
+once, or later if another process answers at its address or its name registers with a later start
+time.
 """
 
 from __future__ import annotations
@@ -23,20 +24,20 @@
 from kitekeel_steering.proxied_messages import HeaderNames, ProxiedRequest, find_header
 from kitekeel_steering.request_identity import identify
 
-# Two ways between the most distant regions known, and a busy event loop.
+# Covers a round trip between the most distant regions known and the delay of a busy event loop.
 _PROBE_TIMEOUT_SECONDS = 0.7
-# A process that starts again at once answers before its former end was seen; its record is known
-# within two to three seconds.
+# A process that restarts at once accepts connections before the end of the old one is detected. Its
+# new record arrives within two to three seconds.
 _UNDECIDED_SECONDS = 4.0
-_MOST_UNDECIDED_OF_ONE = 100
+_MAX_UNDECIDED_PER_BACK_END = 100
 
 
-class _Break(msgspec.Struct, frozen=True, eq=False):
-    """An exchange that broke off; its request's body is not kept.
+class _BrokenExchange(msgspec.Struct, frozen=True, eq=False):
+    """A broken exchange, without the body of its request.
 
     Attributes:
         at: monotonic time in seconds.
-        seconds: how long the exchange had been going on.
+        seconds: duration of the exchange until it broke.
     """
 
     request_id: str
@@ -49,11 +50,11 @@
 
 
 class ProcessEnds:
-    """Finds which requests were running when a back end's process ended; of one event loop.
+    """Finds the requests that ran when a back end's process ended; used on one event loop.
 
     Args:
-        on_end: called with the identity of a request and the record of the process that ended
-            while it ran it.
+        on_end: called with the identity of a request and the record of the back end whose process
+            ended while running it.
     """
 
     def __init__(
@@ -70,43 +71,43 @@
         self._metrics = metrics
         self._log = log
         self._probes: dict[str, asyncio.Task[ProcessState]] = {}
-        self._undecided: defaultdict[str, deque[_Break]] = defaultdict(
-            lambda: deque(maxlen=_MOST_UNDECIDED_OF_ONE)
+        self._undecided: defaultdict[str, deque[_BrokenExchange]] = defaultdict(
+            lambda: deque(maxlen=_MAX_UNDECIDED_PER_BACK_END)
         )
         self._tasks: set[asyncio.Task[None]] = set()
 
     def note_broken(
         self, request: ProxiedRequest, record: BackEndRecord, sent_at: float, error: str
     ) -> None:
-        """Note that an exchange broke off, and find out why without keeping its caller waiting."""
-        found = self._break(request, record, sent_at, error)
+        """Note a broken exchange, and check the back end's process in the background."""
+        exchange = self._make_broken_exchange(request, record, sent_at, error)
         self._forget_old()
-        self._undecided[record.instance].append(found)
-        task = asyncio.get_running_loop().create_task(self._examine(found))
+        self._undecided[record.instance].append(exchange)
+        task = asyncio.get_running_loop().create_task(self._check_process(exchange))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def note_process_gone(
         self, request: ProxiedRequest, record: BackEndRecord, sent_at: float, error: str
     ) -> None:
-        """Note that an exchange was ended since the back end's process is known to be gone."""
-        self._decide(self._break(request, record, sent_at, error), ProcessState.GONE)
+        """Note an exchange that was cancelled because the back end's process is gone."""
+        self._report(self._make_broken_exchange(request, record, sent_at, error), ProcessState.GONE)
 
     def note_replaced(self, record: BackEndRecord) -> None:
         """Note that another process answers at a back end's address."""
-        self._confirm(record.instance)
+        self._confirm_gone(record.instance)
 
     def on_change(self, change: ViewChange) -> None:
-        """Follow a change of the view."""
+        """Update the state after a change of the view."""
         if change.is_restart:
-            self._confirm(change.item.name)
+            self._confirm_gone(change.item.name)
 
-    def _break(
+    def _make_broken_exchange(
         self, request: ProxiedRequest, record: BackEndRecord, sent_at: float, error: str
-    ) -> _Break:
+    ) -> _BrokenExchange:
         now = self._clock.monotonic()
         request_id = find_header(request.headers, self._names.request_id) or b""
-        return _Break(
+        return _BrokenExchange(
             request_id.decode("latin-1"),
             identify(request, self._names),
             request.caller_address,
@@ -116,18 +117,18 @@
             error,
         )
 
-    async def _examine(self, found: _Break) -> None:
-        state = await self._probe(found.record.address)
-        undecided = self._undecided.get(found.record.instance, ())
-        if found not in undecided:
-            # Another sign of the process's end came first.
+    async def _check_process(self, exchange: _BrokenExchange) -> None:
+        state = await self._probe(exchange.record.address)
+        undecided = self._undecided.get(exchange.record.instance, ())
+        if exchange not in undecided:
+            # The process was already found to be gone, or the exchange is no longer kept.
             return
         if state is ProcessState.GONE:
-            self._undecided[found.record.instance].remove(found)
-        self._decide(found, state)
+            self._undecided[exchange.record.instance].remove(exchange)
+        self._report(exchange, state)
 
     async def _probe(self, address: str) -> ProcessState:
-        """Probe once for all exchanges that break at the same moment."""
+        """Probe an address; exchanges that break at the same time share one probe."""
         probe = self._probes.get(address)
         if probe is None:
             probe = asyncio.get_running_loop().create_task(
@@ -137,10 +138,10 @@
             probe.add_done_callback(lambda _: self._probes.pop(address, None))
         return await probe
 
-    def _confirm(self, instance: str) -> None:
+    def _confirm_gone(self, instance: str) -> None:
         self._forget_old()
         for each in self._undecided.pop(instance, ()):
-            self._decide(each, ProcessState.GONE)
+            self._report(each, ProcessState.GONE)
 
     def _forget_old(self) -> None:
         oldest = self._clock.monotonic() - _UNDECIDED_SECONDS
@@ -150,19 +151,19 @@
             if not breaks:
                 del self._undecided[instance]
 
-    def _decide(self, found: _Break, state: ProcessState) -> None:
+    def _report(self, exchange: _BrokenExchange, state: ProcessState) -> None:
         self._metrics.increment(f"back-ends.broken-{state.value}")
         self._log.state(
             ExchangeBroken(
-                request=found.request_id,
-                identity=found.identity,
-                caller=found.caller,
-                back_end=found.record.instance,
-                started_at_ms=found.record.started_at_ms,
-                seconds=round(found.seconds, 3),
-                error=found.error,
+                request=exchange.request_id,
+                identity=exchange.identity,
+                caller=exchange.caller,
+                back_end=exchange.record.instance,
+                started_at_ms=exchange.record.started_at_ms,
+                seconds=round(exchange.seconds, 3),
+                error=exchange.error,
                 process=state.value,
             )
         )
         if state is ProcessState.GONE:
-            self._on_end(found.identity, found.record)
+            self._on_end(exchange.identity, exchange.record)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/request_guard.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/request_guard.py
@@ -1,9 +1,10 @@
-"""Keeps requests that end back ends away from them, in a daemon whose requests run on threads.
+"""Quarantines requests that crash back ends, in a daemon that runs its requests on threads.
 
-The ledger and what spreads it live on an event loop of their own; threads only read from it which
-requests are quarantined, and hand it what they saw. Back ends of a configuration have no starts, so
-that each counts once: the third end must be that of a third back end. Requests whose body is longer
-than what is read ahead, or of unknown length, are not known again.
+The crash ledger and its exchange with other daemons run on an event loop of their own. Threads only
+read from the ledger whether a request is quarantined, and pass their observations to the loop. Back
+ends of a configuration have no start times, so each counts only once per request: the third end
+must be that of a third back end. Requests whose body is longer than what is read ahead, or of
+unknown length, have no identity and are not recognized when they are retried.
 """
 
 from __future__ import annotations
@@ -32,12 +33,12 @@
 
 _PROBE_TIMEOUT_SECONDS = 0.7
 _STOP_POLL_SECONDS = 0.2
-# An answer at another daemon may release the request; sooner is of no use.
+# An answer at another daemon may lift the quarantine; an earlier retry is of no use.
 _RETRY_AFTER_SECONDS = 60.0
 
 
 class RequestGuard:
-    """One daemon's guard; its methods may be called from many threads."""
+    """The crash guard of one daemon; its methods may be called from many threads."""
 
     def __init__(self, clock: Clock, metrics: Metrics, recorder: EventRecorder) -> None:
         self._metrics = metrics
@@ -48,36 +49,36 @@
         self.ledger = CrashLedger(clock, self._on_change)
 
     def share(self, client: PeerClient, table: MemberTable, server: PeerServer) -> None:
-        """Share what is known with the other daemons."""
+        """Start sharing crash records with the other daemons."""
         self._exchange = CrashExchange(
             self.ledger, client, table, self._loop, random.Random(), self._on_peer_failure
         )
         self._exchange.register(server)
 
     def run(self, stop: threading.Event) -> None:
-        """Run the loop until told to stop."""
+        """Run the event loop until ``stop`` is set."""
         asyncio.set_event_loop(self._loop)
         self._loop.run_until_complete(self._share_until(stop))
         self._loop.close()
 
     def check(self, identity: str) -> None:
-        """Let a request be sent, or refuse it.
+        """Return if a request may be sent.
 
         Raises:
-            EndsBackEndsError: back ends end when they run it.
+            EndsBackEndsError: the request is quarantined because it crashes back ends.
         """
         if identity and self.ledger.is_quarantined(identity):
             self._metrics.increment("requests.quarantined")
-            text = f"back ends end when they run this request ({identity})"
+            text = f"this request crashes the back ends that run it ({identity})"
             raise EndsBackEndsError(text, _RETRY_AFTER_SECONDS)
 
     def note_broken(self, identity: str, service: str, back_end: BackEnd) -> None:
-        """Note that an exchange broke off; whether the back end has ended is looked up."""
+        """Note a broken exchange, and check in the background whether the back end has ended."""
         if identity:
-            self._call(self._begin_examination, identity, service, back_end)
+            self._call(self._start_process_check, identity, service, back_end)
 
     def note_answered(self, identity: str) -> None:
-        """Note that a back end answered a request whole, and not with a failure."""
+        """Note that a back end answered a request completely and without a server error."""
         if identity and self.ledger.may_know(target_of(identity)):
             self._call(self.ledger.note_answered, identity)
 
@@ -85,12 +86,12 @@
         if not self._loop.is_closed():
             self._loop.call_soon_threadsafe(function, *arguments)
 
-    def _begin_examination(self, identity: str, service: str, back_end: BackEnd) -> None:
-        task = self._loop.create_task(self._examine(identity, service, back_end))
+    def _start_process_check(self, identity: str, service: str, back_end: BackEnd) -> None:
+        task = self._loop.create_task(self._check_process(identity, service, back_end))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _examine(self, identity: str, service: str, back_end: BackEnd) -> None:
+    async def _check_process(self, identity: str, service: str, back_end: BackEnd) -> None:
         state = await find_process_state(back_end.address, _PROBE_TIMEOUT_SECONDS)
         self._metrics.increment(f"requests.broken_{state.value}")
         if state is ProcessState.GONE:
@@ -108,7 +109,7 @@
         record = change.record
         if change.source == OWN or change.is_quarantined or change.was_quarantined:
             state = "quarantined" if change.is_quarantined else "not quarantined"
-            ends = f"{len(record.ends)} back ends ended under {record.identity}"
+            ends = f"{len(record.ends)} back ends ended while running {record.identity}"
             text = f"{ends} ({record.service}): {state}, {change.source}"
             self._recorder.add("crash-record", text)
         if self._exchange is not None:
@@ -120,7 +121,7 @@
 
 
 def identity_of(service: str, request: ForwardedRequest, body: bytes | None) -> str:
-    """Return a request's identity; empty where its body is not known."""
+    """Return a request's identity; empty if its body was not read ahead."""
     if body is None and request.body is not None:
         return ""
     content_type = next((v for name, v in request.headers if name.lower() == "content-type"), "")
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/request_recorder.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/request_recorder.py
@@ -1,4 +1,4 @@
-"""Keeps the decisions about each request, and counts and logs them once it has ended."""
+"""Collects the decisions about each request; counts and logs them when the request ends."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class RequestRecorder:
-    """Records requests.
+    """Records the decisions about requests in the metrics and the log.
 
     Args:
-        view: tells the ages of the beliefs that decided.
-        names: tells which header holds a request's id.
+        view: provides the age of the information that decisions were based on.
+        names: names the header that holds a request's id.
     """
 
     def __init__(
@@ -46,12 +46,12 @@
         self._log = log
 
     def request_id(self, request: ProxiedRequest) -> str:
-        """Return the id that a caller gave its request, empty where it gave none."""
+        """Return the id that the caller gave its request; empty if it gave none."""
         return (find_header(request.headers, self._names.request_id) or b"").decode("latin-1")
 
     def note_admitted(self, routed: RoutedRequest, configuration_version: int) -> None:
         """Record that a request was matched to a route and a service."""
-        routed.lines.append(
+        routed.messages.append(
             RequestAdmitted(
                 request=routed.request_id,
                 at=self._clock.wall(),
@@ -66,8 +66,8 @@
         )
 
     def note_over_limit(self, routed: RoutedRequest, tenant: Tenant, claim: Claim) -> None:
-        """Record that a request's tenant was over its limit."""
-        routed.lines.append(
+        """Record that a request was refused because its tenant was over its rate limit."""
+        routed.messages.append(
             TenantOverLimit(
                 request=routed.request_id,
                 at=self._clock.wall(),
@@ -86,20 +86,20 @@
         sent_at: float,
         report_age: float | None,
     ) -> None:
-        """Record a send and what came of it.
+        """Record a send and its result.
 
         Args:
             routed: the request.
             placement: the decision that chose the back end.
-            result: what came of the send.
+            result: the result of the send.
             sent_at: monotonic time in seconds.
-            report_age: age in seconds of the load report that the placement rested on.
+            report_age: age in seconds of the load report that the placement was based on.
         """
         if placement.candidate is None:
             return
         instance = placement.candidate.record.instance
         region = placement.candidate.region
-        routed.lines.append(
+        routed.messages.append(
             RequestSent(
                 request=routed.request_id,
                 at=self._clock.wall(),
@@ -118,7 +118,7 @@
         self._metrics.count_placement(region, placement.cause.value)
 
     def note_ended(self, routed: RoutedRequest, outcome: Outcome, reason: str, status: int) -> None:
-        """Count a request that has ended, and log its decisions."""
+        """Count a request that has ended, and log the decisions about it."""
         route = routed.route
         seconds = self._clock.monotonic() - routed.request.received_at
         is_late = seconds > route.objective_seconds
@@ -139,7 +139,7 @@
         )
         is_answered = outcome is Outcome.ANSWERED and status < HTTPStatus.INTERNAL_SERVER_ERROR
         is_ordinary = is_answered and routed.sends == 1 and not is_late
-        self._log.request((*routed.lines, ended), is_ordinary)
+        self._log.request((*routed.messages, ended), is_ordinary)
 
     def note_unrouted(
         self, request: ProxiedRequest, outcome: Outcome, reason: Reason, key: str = ""
@@ -148,9 +148,9 @@
 
         Args:
             request: the request.
-            outcome: how it ended.
-            reason: what decided it.
-            key: fingerprint of the API key that it stated; empty for none.
+            outcome: the outcome.
+            reason: the reason for the outcome.
+            key: fingerprint of the API key that the request carried; empty if it carried none.
         """
         seconds = self._clock.monotonic() - request.received_at
         self._metrics.note_ended(outcome.value, reason.value, "", 0, seconds)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/request_runner.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/request_runner.py
@@ -1,4 +1,4 @@
-"""Runs one request: takes a slot, sends the request on it, and tries again where that is safe."""
+"""Runs one request: acquires a slot, sends the request to its back end, and retries if safe."""
 
 from __future__ import annotations
 
@@ -33,22 +33,22 @@
 from kitekeel_steering.request_phases import Phase
 from kitekeel_steering.retry_budget import RetryBudget
 
-_MOST_TRIES = 3
+_MAX_TRIES = 3
 _FIRST_SERVER_ERROR = 500
-# With a smaller part of its time left a request is refused: an answer would hardly be in time, and
-# the send would only take a slot and end as unknown.
-_LEAST_SHARE_OF_TIME = 0.1
+# A request with a smaller share of its time left is refused: an answer would hardly be in time, and
+# the send would only occupy a slot and end with an unknown outcome.
+_MIN_REMAINING_TIME_SHARE = 0.1
 
 
 class RequestRunner:
-    """Steers requests to back ends; safe to call from many threads.
+    """Runs requests on back ends; safe to call from many threads.
 
     Args:
         configuration: returns the configuration in force.
         admission: returns the admission of a service.
         forwarder: sends requests.
-        metrics: counts tries.
-        guard: tells which requests end back ends.
+        metrics: counts sends and retries.
+        guard: detects requests that crash back ends.
     """
 
     def __init__(
@@ -69,31 +69,31 @@
         self._lock = threading.Lock()
 
     def is_ready(self) -> bool:
-        """Tell whether there is a configuration."""
+        """Return whether there is a configuration."""
         return self._configuration().revision > 0
 
     def run(self, request: CallerRequest, deadline: float) -> StreamedAnswer:
         """Return a back end's answer.
 
         Raises:
-            NotRunError: nothing of the request left.
-            OutcomeUnknownError: some of it may have.
+            NotRunError: no back end has run the request.
+            OutcomeUnknownError: a back end may have run it.
         """
         service = self._configuration().find_service(request.service)
         if service is None:
             raise UnknownServiceError(f"no service '{request.service}'")
-        priority_class = _proved_class(service, request)
+        priority_class = _authenticated_class(service, request)
         request, body = read_ahead(request)
-        suspicion = _Suspicion(
+        bound_guard = _BoundGuard(
             self._guard, service.name, identity_of(service.name, request.forwarded, body)
         )
-        suspicion.check()
-        # The service's longest run is what keepers rely on when a holder falls silent.
+        bound_guard.check()
+        # Keepers rely on the service's longest run when the holder of a slot stops answering.
         deadline = min(deadline, steady_seconds() + service.longest_run_seconds)
-        whole = min(request.deadline_seconds, service.longest_run_seconds)
+        allowed_seconds = min(request.deadline_seconds, service.longest_run_seconds)
         budget = self._budget(service.name)
         budget.note_request()
-        return _Tries(
+        return _RequestAttempts(
             self._configuration(),
             self._admission(service.name),
             self._forwarder,
@@ -103,8 +103,8 @@
             request,
             priority_class,
             deadline,
-            whole * _LEAST_SHARE_OF_TIME,
-            suspicion,
+            allowed_seconds * _MIN_REMAINING_TIME_SHARE,
+            bound_guard,
         ).run()
 
     def _budget(self, service: str) -> RetryBudget:
@@ -112,8 +112,8 @@
             return self._budgets.setdefault(service, RetryBudget())
 
 
-class _Suspicion:
-    """What one request's tries tell of whether it ends back ends."""
+class _BoundGuard:
+    """The crash guard, bound to the identity of one request."""
 
     def __init__(self, guard: RequestGuard, service: str, identity: str) -> None:
         self._guard = guard
@@ -121,21 +121,21 @@
         self._identity = identity
 
     def check(self) -> None:
-        """Refuse the request where back ends end when they run it."""
+        """Raise an error if the request is quarantined because it crashes back ends."""
         self._guard.check(self._identity)
 
     def note_broken(self, back_end: BackEnd, error: BaseException) -> None:
-        """Note an exchange that failed."""
+        """Note a failed exchange; only a broken connection counts."""
         if isinstance(error, ConnectionBrokenError):
             self._guard.note_broken(self._identity, self._service, back_end)
 
     def note_answered(self) -> None:
-        """Note an answer that came whole."""
+        """Note that the answer was complete."""
         self._guard.note_answered(self._identity)
 
 
-class _Tries:
-    """The tries of one request."""
+class _RequestAttempts:
+    """The attempts to run one request."""
 
     def __init__(
         self,
@@ -148,10 +148,10 @@
         request: CallerRequest,
         priority_class: PriorityClass,
         deadline: float,
-        least_seconds: float,
-        suspicion: _Suspicion,
+        min_remaining_seconds: float,
+        bound_guard: _BoundGuard,
     ) -> None:
-        self._suspicion = suspicion
+        self._bound_guard = bound_guard
         self._configuration = configuration
         self._admission = admission
         self._forwarder = forwarder
@@ -161,16 +161,16 @@
         self._request = request
         self._priority_class = priority_class
         self._deadline = deadline
-        self._least_seconds = least_seconds
+        self._min_remaining_seconds = min_remaining_seconds
         self._failed: set[str] = set()
         self._may_have_run = False
 
     def run(self) -> StreamedAnswer:
-        """Try until there is an answer or a further try is not allowed."""
+        """Send the request until there is an answer or no further retry is allowed."""
         tries = 0
         last_hold: SlotHold | None = None
         while True:
-            self._check()
+            self._check_quarantine()
             hold = self._acquire(last_hold)
             tries += 1
             try:
@@ -178,19 +178,19 @@
             except KitekeelError as error:
                 last_hold = hold
                 if not self._may_try_again(error, tries):
-                    raise self._final(error) from error
+                    raise self._final_error(error) from error
                 continue
             if _is_shed(answer) and self._may_retry_shed(tries):
-                self._end_shed(answer, hold)
+                self._discard_shed_answer(answer, hold)
                 last_hold = hold
                 continue
             return answer
 
-    def _check(self) -> None:
+    def _check_quarantine(self) -> None:
         try:
-            self._suspicion.check()
+            self._bound_guard.check()
         except NotRunError as error:
-            raise self._final(error) from error
+            raise self._final_error(error) from error
 
     def _acquire(self, last_hold: SlotHold | None) -> SlotHold:
         self._request.phases.enter(Phase.SLOT)
@@ -200,26 +200,26 @@
                 self._deadline,
                 frozenset(self._failed),
                 last_hold,
-                self._least_seconds,
+                self._min_remaining_seconds,
             )
         except NotRunError as error:
-            raise self._final(error) from error
+            raise self._final_error(error) from error
 
-    def _final(self, error: KitekeelError) -> KitekeelError:
-        """Return the error of the whole request: a last try that did not run proves nothing."""
+    def _final_error(self, error: KitekeelError) -> KitekeelError:
+        """Return the error of the whole request, which may have run in an earlier attempt."""
         if self._may_have_run and isinstance(error, NotRunError):
             return OutcomeUnknownError(error.message, error.retry_after_seconds)
         return error
 
     def _send(self, hold: SlotHold) -> StreamedAnswer:
-        """Send on a slot; the slot is given back here on failure, else when the answer ends."""
-        back_end = self._find(hold.back_end)
+        """Send the request; the slot is released on failure, or when the answer's body ends."""
+        back_end = self._find_back_end(hold.back_end)
         started_at = steady_seconds()
         if back_end is None or not self._admission.may_start(hold):
-            # The grant ended or the back end was drained between taking the slot and now.
+            # The grant ended or the back end was drained after the slot was acquired.
             self._admission.release(hold)
             self._metrics.increment("requests.grant_ended")
-            raise _GrantEndedError("the slot's grant has ended", 1.0)
+            raise _GrantEndedError("the grant of the slot ended before the request was sent", 1.0)
         self._metrics.increment("requests.sent")
         self._request.phases.enter(Phase.EXCHANGE)
         try:
@@ -233,7 +233,9 @@
         except BaseException as error:
             self._note_failure(back_end, hold, error, steady_seconds() - started_at)
             raise
-        pieces = _SlotPieces(answer, hold, self._admission, started_at, back_end, self._suspicion)
+        pieces = _SlotReleasingBody(
+            answer, hold, self._admission, started_at, back_end, self._bound_guard
+        )
         return msgspec.structs.replace(answer, pieces=pieces)
 
     def _note_failure(
@@ -245,8 +247,8 @@
             self._admission.release(hold)
             return
         self._may_have_run = True
-        self._suspicion.note_broken(back_end, error)
-        # The back end may be at work until the deadline it was given; so long the slot is taken.
+        self._bound_guard.note_broken(back_end, error)
+        # The back end may work on the request until its deadline, so the slot stays occupied.
         free = partial(self._admission.release, hold)
         if self._request.repeatable:
             request_id = self._request.forwarded.request_id
@@ -257,11 +259,13 @@
     def _may_try_again(self, error: KitekeelError, tries: int) -> bool:
         if isinstance(error, _GrantEndedError):
             return steady_seconds() < self._deadline
-        if tries >= _MOST_TRIES or steady_seconds() >= self._deadline:
+        if tries >= _MAX_TRIES or steady_seconds() >= self._deadline:
             return False
-        safe = isinstance(error, ConnectFailedError) or self._request.repeatable
-        untouched = self._request.forwarded.body is None or isinstance(error, ConnectFailedError)
-        if not (safe and untouched and self._budget.try_spend()):
+        is_safe = isinstance(error, ConnectFailedError) or self._request.repeatable
+        is_body_unread = self._request.forwarded.body is None or isinstance(
+            error, ConnectFailedError
+        )
+        if not (is_safe and is_body_unread and self._budget.try_spend()):
             return False
         self._metrics.increment("requests.retried")
         return True
@@ -269,28 +273,28 @@
     def _may_retry_shed(self, tries: int) -> bool:
         if not self._request.repeatable or self._request.forwarded.body is not None:
             return False
-        if tries >= _MOST_TRIES or steady_seconds() >= self._deadline:
+        if tries >= _MAX_TRIES or steady_seconds() >= self._deadline:
             return False
         return self._budget.try_spend()
 
-    def _end_shed(self, answer: StreamedAnswer, hold: SlotHold) -> None:
+    def _discard_shed_answer(self, answer: StreamedAnswer, hold: SlotHold) -> None:
         self._metrics.increment("requests.retried")
         self._failed.add(hold.back_end)
         close = getattr(answer.pieces, "close", None)
         if close is not None:
             close()
 
-    def _find(self, name: str) -> BackEnd | None:
+    def _find_back_end(self, name: str) -> BackEnd | None:
         back_ends = self._configuration.back_ends
         return next((each for each in back_ends if each.name == name), None)
 
 
 class _GrantEndedError(NoRoomError):
-    """The grant ended before anything was sent; the request goes back to the queue."""
+    """The grant ended before anything was sent; the request returns to the queue."""
 
 
-class _SlotPieces(Iterator[bytes]):
-    """An answer's body; gives the slot back when the body ends, however it does."""
+class _SlotReleasingBody(Iterator[bytes]):
+    """The body of an answer; releases the slot when the body ends, fails or is closed."""
 
     def __init__(
         self,
@@ -299,10 +303,10 @@
         admission: ServiceAdmission,
         started_at: float,
         back_end: BackEnd,
-        suspicion: _Suspicion,
+        bound_guard: _BoundGuard,
     ) -> None:
         self._back_end = back_end
-        self._suspicion = suspicion
+        self._bound_guard = bound_guard
         self._answer = answer
         self._hold = hold
         self._admission = admission
@@ -315,16 +319,16 @@
         except StopIteration:
             succeeded = self._answer.status < _FIRST_SERVER_ERROR
             if succeeded:
-                self._suspicion.note_answered()
+                self._bound_guard.note_answered()
             self._release(succeeded)
             raise
         except BaseException as error:
-            self._suspicion.note_broken(self._back_end, error)
+            self._bound_guard.note_broken(self._back_end, error)
             self._release(False)
             raise
 
     def close(self) -> None:
-        """End early, as when the caller went away."""
+        """Close the body early, for example when the caller disconnected."""
         close = getattr(self._answer.pieces, "close", None)
         if close is not None:
             close()
@@ -338,16 +342,16 @@
         self._admission.release(self._hold)
 
 
-def _proved_class(service: Service, request: CallerRequest) -> PriorityClass:
-    """Return the class that the caller claims, or the least urgent one where it claims none."""
+def _authenticated_class(service: Service, request: CallerRequest) -> PriorityClass:
+    """Return the class that the request names, or the least urgent one that needs no key."""
     if not request.class_name:
         unkeyed = [each for each in service.classes if not each.key]
         if not unkeyed:
-            raise ClassNotProvedError(f"'{service.name}' needs a class and its key")
+            raise ClassNotProvedError(f"service '{service.name}' requires a class and its key")
         return unkeyed[-1]
     priority_class = service.find_class(request.class_name)
     if priority_class is None:
-        raise UnknownServiceError(f"'{service.name}' has no class '{request.class_name}'")
+        raise UnknownServiceError(f"service '{service.name}' has no class '{request.class_name}'")
     if priority_class.key and priority_class.key != request.class_key:
         raise ClassNotProvedError(f"the key of class '{request.class_name}' is wrong")
     return priority_class
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/routed_request.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/routed_request.py
@@ -1,4 +1,4 @@
-"""A request with its route, and what has been tried for it."""
+"""A request with its route and the state of its sends."""
 
 from __future__ import annotations
 
@@ -12,20 +12,26 @@
 
 
 class RoutedRequest(msgspec.Struct):
-    """A request on its way through a daemon.
+    """A routed request that this daemon is processing.
 
     Attributes:
-        caller: whose request it is.
-        regions: the only regions that may serve it, empty for all; ``None`` where there is none.
-        priority: its tenant's or its route's; 0 is the most urgent.
+        caller: the identified sender of the request.
+        regions: the only regions that may serve it; empty if all may, ``None`` if none may.
+        priority: the priority of its tenant or its route; 0 is the most urgent.
+        affinity_key: requests with the same key prefer the same back end.
+        urgency_rank: number of more urgent priorities that share the service.
         deadline: monotonic time by which the caller must have its final answer.
-        attempts: how many back ends may have received it.
-        sends: how many back ends were chosen, reached or not.
-        claims_refused: how often no token of a back end's rate limit was available.
-        lines: its decisions so far, to be logged once it has ended.
-        was_rejected_needlessly: whether the last back end rejected it with a slot free.
-        identity: the same for each try of the same request; empty where nothing is known of it.
-        careful_try: the one send that it may have although it is quarantined.
+        tried: names of the back ends that must not be chosen again.
+        messages: log messages about it so far, written once it has ended.
+        attempts: number of sends that may have reached a back end.
+        sends: number of sends, including those that reached no back end.
+        refused_claims: number of times that no token of a back end's rate limit was available.
+        may_have_run: whether a back end may have run the request.
+        was_rejected_with_free_slot: whether the last back end rejected it despite a free slot.
+        identity: equal for all retries of a request; empty if no crash record can match it.
+        careful_try: permission to send it once although it is quarantined.
+        known: number of back ends of the service in the view.
+        usable: number of candidates that were not tried yet.
     """
 
     request: ProxiedRequest
@@ -39,12 +45,12 @@
     urgency_rank: int
     deadline: float
     tried: set[str]
-    lines: list[LogMessage]
+    messages: list[LogMessage]
     attempts: int = 0
     sends: int = 0
-    claims_refused: int = 0
+    refused_claims: int = 0
     may_have_run: bool = False
-    was_rejected_needlessly: bool = False
+    was_rejected_with_free_slot: bool = False
     identity: str = ""
     careful_try: CarefulTry | None = None
     known: int = 0
