--- a/packages/kitekeel-daemon/src/kitekeel_daemon/admissions.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/admissions.py
@@ -1,4 +1,4 @@
-"""The admissions of all services, made and configured as the configuration changes."""
+"""Creates one admission per service, and updates them when the configuration changes."""
 
 from __future__ import annotations
 
@@ -14,15 +14,16 @@
 
 
 class Admissions:
-    """One admission for each service.
+    """The admissions of all services; safe to call from many threads.
 
     Args:
         identity: who holds the slots.
-        clock: times waits.
-        timing: lives of grants.
-        most_waiting: requests that may wait in this daemon over all services, since each takes a
-            thread. Where the classes' waiting places are more in all, each class gets its part.
-        on_demand: called when a pool should be asked for slots.
+        clock: measures waiting times.
+        timing: lifetimes and intervals of grants.
+        most_waiting: most requests that may wait in this daemon for all services together, since
+            each occupies a thread. If the classes have more queue places in total, the places of
+            every class are reduced in proportion.
+        on_demand: called with a pool from which slots should be requested.
     """
 
     def __init__(
@@ -43,23 +44,23 @@
         self._configuration = Configuration()
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a configuration."""
+        """Apply a configuration to all admissions."""
         with self._lock:
             self._configuration = configuration
             for service in configuration.services:
-                self._make(service.name)
+                self._get_or_create(service.name)
             admissions = list(self._by_service.values())
         for admission in admissions:
             admission.configure(configuration, self._queue_share())
 
     def find(self, service: str) -> ServiceAdmission:
-        """Return the admission of a service."""
+        """Return the admission of a service, creating it if needed."""
         with self._lock:
-            found = self._by_service.get(service)
-            if found is None:
-                found = self._make(service)
-                found.configure(self._configuration, self._queue_share())
-            return found
+            admission = self._by_service.get(service)
+            if admission is None:
+                admission = self._get_or_create(service)
+                admission.configure(self._configuration, self._queue_share())
+            return admission
 
     def all(self) -> list[ServiceAdmission]:
         """Return every admission."""
@@ -74,11 +75,11 @@
         )
         return min(1.0, self._most_waiting / max(1, places))
 
-    def _make(self, service: str) -> ServiceAdmission:
-        found = self._by_service.get(service)
-        if found is None:
-            found = ServiceAdmission(
+    def _get_or_create(self, service: str) -> ServiceAdmission:
+        admission = self._by_service.get(service)
+        if admission is None:
+            admission = ServiceAdmission(
                 service, self._identity, self._clock, self._timing, self._on_demand
             )
-            self._by_service[service] = found
-        return found
+            self._by_service[service] = admission
+        return admission
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/answer_headers.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/answer_headers.py
@@ -1,7 +1,7 @@
-"""Reads what back ends say of themselves in the headers of their answers.
+"""Parses the load, warm-up and rate limit headers in the answers of back ends.
 
-Headers with other text or impossible figures count as missing: one answer must not keep a back end
-unused for good, or make it look emptier than it can be.
+Malformed headers and impossible values are treated as missing. Otherwise a single answer could keep
+a back end unused for good, or make it look less loaded than is possible.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from kitekeel_steering.fleet_items import LONGEST_COLD_SECONDS, MOST_SLOTS
 from kitekeel_steering.ini import parse_duration
 
-# Far more than a back end of the most slots can have running and waiting.
-_MOST_REQUESTS = 100 * MOST_SLOTS
+# Far more requests than a back end with the maximum number of slots can have running and waiting.
+_MAX_REQUESTS = 100 * MOST_SLOTS
 # Above the throughput of any back end; a higher limit is treated as no limit.
-_MOST_RATE = 1_000_000.0
+_MAX_RATE = 1_000_000.0
 _DECIMAL = re.compile(rb"\d{1,20}(\.\d{0,20})?|\.\d{1,20}")
 
 
@@ -41,20 +41,20 @@
 
 
 def read_load(value: bytes | None) -> AnsweredLoad | None:
-    """Return the requests running and waiting and the slots, separated by commas."""
+    """Parse a load header: running requests, waiting requests and slots, separated by commas."""
     parts = value.split(b",") if value is not None else []
     try:
         running, waiting, slots = (math.ceil(float(part)) for part in parts)
     except (ValueError, OverflowError):
         return None
-    is_possible = 0 <= running <= _MOST_REQUESTS and 0 <= waiting <= _MOST_REQUESTS
+    is_possible = 0 <= running <= _MAX_REQUESTS and 0 <= waiting <= _MAX_REQUESTS
     if not is_possible or not 0 <= slots <= MOST_SLOTS:
         return None
     return AnsweredLoad(running, waiting, slots)
 
 
 def read_cold_seconds(value: bytes | None) -> float | None:
-    """Return how much longer the back end stays cold, stated as a duration such as ``350ms``."""
+    """Return how many seconds the back end stays cold, from a duration such as ``350ms``."""
     seconds = parse_duration(value.decode("latin-1")) if value is not None else None
     if seconds is None or seconds > LONGEST_COLD_SECONDS:
         return None
@@ -72,6 +72,6 @@
     unreadable = tuple(part for part in parts if _DECIMAL.fullmatch(part) is None)
     rates = [float(part) for part in parts if _DECIMAL.fullmatch(part) is not None]
     lowest = min(rates, default=None)
-    if lowest is not None and lowest > _MOST_RATE:
+    if lowest is not None and lowest > _MAX_RATE:
         return ParsedRateLimit()
     return ParsedRateLimit(lowest, unreadable)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/back_end_limiter.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/back_end_limiter.py
@@ -34,10 +34,10 @@
 
 BACK_END_QUOTA = "BackEndQuota"
 _GROUPS = 1
-_MOST_LOGGED_BYTES = 200
+_MAX_LOGGED_BYTES = 200
 # Minimum rate applied to lower limits, including 0: only an answer reveals that a limit was lifted.
-_LEAST_RATE = 0.25
-# Retry interval while no keeper can be reached and the daemon uses only tokens it earned itself.
+_MIN_RATE = 0.25
+# Retry interval while no keeper is reachable and the daemon uses only its own share of the tokens.
 _ALONE_RETRY_SECONDS = 0.1
 # Exceeds the few milliseconds that a keeper in the same region takes to answer, but stays short
 # because another back end may be able to serve the request.
@@ -150,7 +150,7 @@
     def service_rate(self, service: str) -> float:
         """Return the sum of the rate limits applied to a service's back ends, per second."""
         rates = (self.limits.rate(each) for each in self._view.back_ends(service))
-        return sum(max(each, _LEAST_RATE) for each in rates if each is not None)
+        return sum(max(each, _MIN_RATE) for each in rates if each is not None)
 
     async def claim(self, candidate: Candidate) -> LimitToken:
         """Take a token for one request if the back end has a rate limit."""
@@ -192,7 +192,7 @@
         stated = read_rate_limit(values)
         if stated.unreadable and record.instance not in self._logged_unreadable:
             self._logged_unreadable.add(record.instance)
-            text = b",".join(values)[:_MOST_LOGGED_BYTES].decode("latin-1")
+            text = b",".join(values)[:_MAX_LOGGED_BYTES].decode("latin-1")
             self._log.state(BackEndLimitUnreadable(record.instance, text))
         if stated.is_known:
             self.limits.note_answer(record.instance, record.started_at_ms, stated.rate)
@@ -226,7 +226,7 @@
         if record.rate is None:
             self._drop_shares(record.identity)
         else:
-            rate = max(record.rate, _LEAST_RATE)
+            rate = max(record.rate, _MIN_RATE)
             home = self._home_region(record.instance)
             self._shares[record.identity] = back_end_shares(rate, self._margin, home)
         self._log.state(
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/given_up_requests.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/given_up_requests.py
@@ -1,4 +1,4 @@
-"""Frees the slots of requests that were given up, once their back ends are done with them."""
+"""Releases the slots of abandoned requests once their back ends have stopped working on them."""
 
 from __future__ import annotations
 
@@ -10,34 +10,35 @@
 from kitekeel_steering.clock import steady_seconds
 from kitekeel_steering.metrics import Metrics
 
-# By how much a back end may run past a deadline: it counts from arrival, the daemon from sending.
+# How long a back end may run past the deadline: it counts the time from arrival of the request, the
+# daemon from sending it.
 _OVERRUN_SECONDS = 0.25
-# Questions to give up that are on their way at once; each takes half a second at most.
-_MOST_QUESTIONS = 8
+# Cancel calls to back ends that run at the same time; each takes half a second at most.
+_MAX_CONCURRENT_CANCELS = 8
 
 
 class GivenUpRequests:
-    """Follows requests whose outcome is unknown, without anybody waiting for it.
+    """Cancels requests whose outcome is unknown, in the background.
 
-    Asking a back end to give a request up takes up to 0.5 s where it is slow, as it is when
-    requests have to be given up; the caller, whose deadline has passed, is told meanwhile.
+    A cancel call takes up to 0.5 s at a slow back end, and back ends tend to be slow when requests
+    are abandoned. The caller, whose deadline has passed, is therefore answered without waiting.
 
     Args:
-        forwarder: asks back ends.
-        metrics: counts how many gave a request up, and how many did not answer that.
+        forwarder: sends the cancel calls.
+        metrics: counts successful and failed cancel calls.
     """
 
     def __init__(self, forwarder: Forwarder, metrics: Metrics) -> None:
         self._forwarder = forwarder
         self._metrics = metrics
-        self._workers = ThreadPoolExecutor(_MOST_QUESTIONS, thread_name_prefix="give-up")
+        self._workers = ThreadPoolExecutor(_MAX_CONCURRENT_CANCELS, thread_name_prefix="give-up")
 
     def free_at_deadline(self, deadline: float, free: Callable[[], None]) -> None:
-        """Free a slot when the back end's time is over.
+        """Release a slot after the deadline of the back end.
 
         Args:
-            deadline: monotonic time that the back end was given.
-            free: gives the slot back.
+            deadline: monotonic deadline sent to the back end.
+            free: releases the slot.
         """
         remaining = max(0.0, deadline - steady_seconds()) + _OVERRUN_SECONDS
         timer = threading.Timer(remaining, free)
@@ -47,13 +48,13 @@
     def cancel(
         self, address: str, request_id: str, deadline: float, free: Callable[[], None]
     ) -> None:
-        """Ask a back end to give a request up, and free its slot as soon as it has.
+        """Ask a back end to cancel a request, and release its slot as soon as it has.
 
         Args:
             address: ``IP:port`` of the back end.
-            request_id: of a request that may be repeated.
-            deadline: monotonic time that the back end was given.
-            free: gives the slot back.
+            request_id: id of a repeatable request.
+            deadline: monotonic deadline sent to the back end.
+            free: releases the slot.
         """
         self._workers.submit(self._cancel, address, request_id, deadline, free)
 
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/known_body.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/known_body.py
@@ -1,4 +1,4 @@
-"""Reads a short body ahead, so that its request can be known again and holds no slot meanwhile."""
+"""Buffers short request bodies, to identify retries and to occupy no slot during the upload."""
 
 from __future__ import annotations
 
@@ -10,20 +10,22 @@
 from kitekeel_callers.caller_request import CallerRequest
 from kitekeel_steering.errors import BadRequestError
 
-_MOST_BYTES = 64 * 1024
+_MAX_READ_AHEAD_BYTES = 64 * 1024
 
 
 def read_ahead(request: CallerRequest) -> tuple[CallerRequest, bytes | None]:
-    """Return the request with its body in memory, and the body; ``None`` where it is too long.
+    """Return the request with its body in memory, and the body.
+
+    The body is ``None``, and not read, if it is too long or its length is unknown.
 
     Raises:
-        BadRequestError: the caller went away in the middle; nothing was sent.
+        BadRequestError: the caller disconnected before the end of the body; nothing was sent.
     """
     forwarded = request.forwarded
     length = forwarded.body_length
     if forwarded.body is None:
         return request, b""
-    if length is None or length > _MOST_BYTES:
+    if length is None or length > _MAX_READ_AHEAD_BYTES:
         return request, None
     body = _read(forwarded.body.read, length)
     known = msgspec.structs.replace(forwarded, body=io.BytesIO(body))
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/phase_report.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/phase_report.py
@@ -1,4 +1,4 @@
-"""Tells where requests spend their time: counters for all of them, lines for some.
+"""Reports how long requests spend in each phase: counters for all, log lines for some.
 
 A request is logged if it was answered late, if its outcome is unknown, or if it was refused for a
 full queue after a delay.
@@ -17,22 +17,22 @@
 from kitekeel_steering.metrics import Metrics
 from kitekeel_steering.request_phases import Phase
 
-# Upper ends of the counted classes, in milliseconds: a quiet daemon's phases are in the first two,
-# and callers of urgent classes give 4 s.
-_CLASS_ENDS_MS = (10, 100, 500, 1000, 2000, 4000, 8000)
-# An answer that a back end's deadline made leaves by so much after it even on an idle machine.
-_TOLERATED_SECONDS = 0.25
+# Upper bounds of the histogram buckets, in milliseconds. The phases of a lightly loaded daemon fall
+# into the first two, and callers of urgent classes allow 4 s.
+_BUCKET_BOUNDS_MS = (10, 100, 500, 1000, 2000, 4000, 8000)
+# Even on an idle machine, an answer caused by a back end's deadline leaves this long after it.
+_LATENESS_TOLERANCE_SECONDS = 0.25
 # A full queue is detected when a slot is requested; a slower refusal indicates an earlier delay.
 _SLOW_REFUSAL_SECONDS = 0.5
 _LINES_PER_SECOND = 20
 
 
 class PhaseReport:
-    """Takes the phases of each request that has ended; safe to call from many threads.
+    """Counts and logs the phases of requests that have ended; safe to call from many threads.
 
     Args:
-        metrics: counts each phase by the class of its time.
-        daemon: put on every line.
+        metrics: counts each phase in the bucket of its duration.
+        daemon: name of the daemon, written to every log line.
     """
 
     def __init__(self, metrics: Metrics, daemon: str) -> None:
@@ -45,14 +45,14 @@
         """Count the phases of a request, and log it if it was late, unknown or refused slowly.
 
         Args:
-            request: its phases have ended.
-            outcome: what its caller was told.
-            cause: why there was no answer of a back end, empty where there was one.
+            request: the request, whose phases have ended.
+            outcome: the outcome reported to the caller.
+            cause: why no back end answered; empty if one did.
         """
         for phase, seconds in request.phases.seconds.items():
-            self._metrics.increment(f"phases.{phase.value}.{_time_class(seconds)}")
+            self._metrics.increment(f"phases.{phase.value}.{_duration_bucket(seconds)}")
         late = request.phases.total_seconds() - request.deadline_seconds
-        is_late = late > _TOLERATED_SECONDS
+        is_late = late > _LATENESS_TOLERANCE_SECONDS
         if is_late:
             self._metrics.increment("requests.late")
         message_type = _message_type(request, outcome, cause, is_late)
@@ -93,9 +93,9 @@
     return ""
 
 
-def _time_class(seconds: float) -> str:
+def _duration_bucket(seconds: float) -> str:
     milliseconds = seconds * 1000
-    for end in _CLASS_ENDS_MS:
+    for end in _BUCKET_BOUNDS_MS:
         if milliseconds < end:
             return f"below-{end}-ms"
-    return f"from-{_CLASS_ENDS_MS[-1]}-ms"
+    return f"from-{_BUCKET_BOUNDS_MS[-1]}-ms"
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/running_exchanges.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/running_exchanges.py
@@ -1,7 +1,7 @@
-"""Ends the exchanges with a back end's process once that process is known to be gone.
+"""Cancels the exchanges with a back end's process once that process is known to be gone.
 
-Its answer cannot come any more, and a connection to a machine that lost power does not break by
-itself: the caller would wait until its deadline. Whether the request has run is unknown.
+A connection to a machine that lost power does not break by itself, so the caller would wait until
+its deadline for an answer that cannot come. Whether the request has run is unknown.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 class BackEndRestartedError(OutcomeUnknownError):
-    """The back end has started again, so that its former process will not answer."""
+    """The back end has restarted, so its previous process will not answer."""
 
     code = "back-end-restarted"
 
 
 class RunningExchanges:
-    """The exchanges under way, by the back end's name; used on one event loop."""
+    """The exchanges in progress, by back end; used on one event loop."""
 
     def __init__(self) -> None:
         self._scopes: defaultdict[str, set[asyncio.Timeout]] = defaultdict(set)
@@ -34,7 +34,7 @@
         """Return the result of an exchange.
 
         Raises:
-            BackEndRestartedError: the back end was found to be another process meanwhile.
+            BackEndRestartedError: the back end restarted during the exchange.
         """
         scope = asyncio.timeout(None)
         scopes = self._scopes[record.instance]
@@ -45,14 +45,14 @@
         except TimeoutError as error:
             if not scope.expired():
                 raise
-            raise BackEndRestartedError(f"{record.instance} has started again") from error
+            raise BackEndRestartedError(f"{record.instance} has restarted") from error
         finally:
             scopes.discard(scope)
             if not scopes and self._scopes.get(record.instance) is scopes:
                 del self._scopes[record.instance]
 
     def on_change(self, change: ViewChange) -> None:
-        """End the exchanges with a process that is gone."""
+        """Cancel the exchanges with a back end that has restarted."""
         if not change.is_restart:
             return
         now = asyncio.get_running_loop().time()
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/tenant_admission.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/tenant_admission.py
@@ -1,4 +1,4 @@
-"""Admits requests by their tenants: who may ask at all, and how often."""
+"""Enforces the rate limits of tenants across all daemons."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from kitekeel_steering.tenant_reports import TenantsReply
 from kitekeel_steering.tenants import Tenant
 
-_LEAST_RETRY_AFTER_SECONDS = 0.03
-_MOST_RETRY_AFTER_SECONDS = 2.0
+_MIN_RETRY_AFTER_SECONDS = 0.03
+_MAX_RETRY_AFTER_SECONDS = 2.0
 
 
 class TenantAdmission:
-    """Takes a token of its tenant's limit for each request; used on one event loop.
+    """Claims a token of the tenant's rate limit for each request; used on one event loop.
 
     Args:
-        daemon: its name.
-        view: tells the configuration in force.
+        daemon: name of this daemon.
+        view: provides the configuration in force.
         margin: how far limits may be exceeded.
         daemons: how many daemons share the limits.
     """
@@ -61,7 +61,7 @@
     def share(
         self, client: PeerClient, table: MemberTable, server: PeerServer, generator: random.Random
     ) -> None:
-        """Keep the limits together with the other daemons; see :class:`QuotaExchange`."""
+        """Start enforcing limits together with other daemons; see :class:`QuotaExchange`."""
         self._table = table
         self._exchange = QuotaExchange(
             QuotaKeepers(table.own, table.live, self._clock),
@@ -82,12 +82,12 @@
         return self._exchange.loops() if self._exchange is not None else []
 
     def close(self) -> None:
-        """Make no further calls."""
+        """Stop calling other daemons."""
         if self._exchange is not None:
             self._exchange.close()
 
     async def claim(self, tenant: Tenant | None) -> Claim | None:
-        """Take a token for one request; ``None`` where there is no limit."""
+        """Claim a token for one request; return ``None`` if no limit applies."""
         if tenant is None:
             return None
         shares = self._shares_of(tenant.name)
@@ -106,11 +106,11 @@
             self._exchange.give_back(tenant.name, shares)
 
     def is_alone(self) -> bool:
-        """Tell whether limits are kept by this daemon's equal part, as no keeper answers."""
+        """Return whether this daemon enforces only its equal share, as no keeper answers."""
         return self._exchange is not None and self._exchange.is_alone()
 
     def report(self) -> TenantsReply:
-        """Return what operators may know of the tenants' use of their limits."""
+        """Return a report for operators on the tenants' use of their limits."""
         routes = self._view.routes
         return TenantsReply(
             self._daemon,
@@ -132,14 +132,14 @@
         )
 
     def _may_have_limits(self) -> bool:
-        """Tell whether a tenant has a limit, as far as a configuration is known."""
+        """Return whether any tenant has a limit; true while no configuration is known."""
         return self._view.routes is None or bool(self._current_shares())
 
     def _shares_of(self, tenant: str) -> QuotaShares | None:
         return self._current_shares().get(tenant)
 
     def _current_shares(self) -> dict[str, QuotaShares]:
-        """Return the shares of all tenants with limits, by the configuration in force."""
+        """Return the quota shares of all tenants that have limits in the configuration in force."""
         routes = self._view.routes
         if routes is not self._routes and routes is not None:
             self._routes = routes
@@ -161,9 +161,9 @@
     Args:
         rate: the limit in requests per second.
 
-    Tokens are not kept for those who were refused, so that waiting longer than for the next ones
-    gives no better chance, and an answer that comes later than its caller needs it.
+    No tokens are reserved for refused callers. Waiting longer than until the next tokens arrive
+    therefore does not improve their chance, and only delays the answer.
     """
-    refill = 1.0 / max(rate, 1.0 / _MOST_RETRY_AFTER_SECONDS)
-    least = max(_LEAST_RETRY_AFTER_SECONDS, refill)
+    refill = 1.0 / max(rate, 1.0 / _MAX_RETRY_AFTER_SECONDS)
+    least = max(_MIN_RETRY_AFTER_SECONDS, refill)
     return random.uniform(least, 2 * least)
