--- a/packages/kitekeel-daemon/src/kitekeel_daemon/crash_guard.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/crash_guard.py
@@ -86,7 +86,7 @@
         self._metrics = metrics
         self._log = log
         self.ledger = CrashLedger(clock, self._on_change)
-        self.ends = ProcessEnds(names, clock, metrics, log, self._on_end)
+        self.process_ends = ProcessEnds(names, clock, metrics, log, self._on_end)
         self._exchange: CrashExchange | None = None
         self._store_sync: CrashRecordSync | None = None
         self._clock = clock
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/given_up_requests.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/given_up_requests.py
@@ -18,7 +18,7 @@
 
 
 class GivenUpRequests:
-    """Cancels requests whose outcome is unknown, in the background.
+    """Cancels requests with unknown outcome in the background, and releases their slots.
 
     A cancel call takes up to 0.5 s at a slow back end, and back ends tend to be slow when requests
     are abandoned. The caller, whose deadline has passed, is therefore answered without waiting.
@@ -33,20 +33,20 @@
         self._metrics = metrics
         self._workers = ThreadPoolExecutor(_MAX_CONCURRENT_CANCELS, thread_name_prefix="give-up")
 
-    def free_at_deadline(self, deadline: float, free: Callable[[], None]) -> None:
+    def release_at_deadline(self, deadline: float, release: Callable[[], None]) -> None:
         """Release a slot after the deadline of the back end.
 
         Args:
             deadline: monotonic deadline sent to the back end.
-            free: releases the slot.
+            release: releases the slot.
         """
         remaining = max(0.0, deadline - steady_seconds()) + _OVERRUN_SECONDS
-        timer = threading.Timer(remaining, free)
+        timer = threading.Timer(remaining, release)
         timer.daemon = True
         timer.start()
 
     def cancel(
-        self, address: str, request_id: str, deadline: float, free: Callable[[], None]
+        self, address: str, request_id: str, deadline: float, release: Callable[[], None]
     ) -> None:
         """Ask a back end to cancel a request, and release its slot as soon as it has.
 
@@ -54,18 +54,18 @@
             address: ``IP:port`` of the back end.
             request_id: id of a repeatable request.
             deadline: monotonic deadline sent to the back end.
-            free: releases the slot.
+            release: releases the slot.
         """
-        self._workers.submit(self._cancel, address, request_id, deadline, free)
+        self._workers.submit(self._cancel, address, request_id, deadline, release)
 
     def _cancel(
-        self, address: str, request_id: str, deadline: float, free: Callable[[], None]
+        self, address: str, request_id: str, deadline: float, release: Callable[[], None]
     ) -> None:
         if steady_seconds() > deadline + _OVERRUN_SECONDS:
-            free()
+            release()
         elif self._forwarder.cancel(address, request_id):
             self._metrics.increment("requests.cancelled")
-            free()
+            release()
         else:
             self._metrics.increment("requests.cancel_failed")
-            self.free_at_deadline(deadline, free)
+            self.release_at_deadline(deadline, release)
