--- a/packages/kitekeel-daemon/src/kitekeel_daemon/given_up_requests.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/given_up_requests.py
@@ -33,20 +33,20 @@
         self._metrics = metrics
         self._workers = ThreadPoolExecutor(_MAX_CONCURRENT_CANCELS, thread_name_prefix="give-up")
 
-    def release_at_deadline(self, deadline: float, release: Callable[[], None]) -> None:
+    def release_at_deadline(self, deadline: float, release_slot: Callable[[], None]) -> None:
         """Release a slot after the deadline of the back end.
 
         Args:
             deadline: monotonic deadline sent to the back end.
-            release: releases the slot.
+            release_slot: releases the slot.
         """
         remaining = max(0.0, deadline - steady_seconds()) + _OVERRUN_SECONDS
-        timer = threading.Timer(remaining, release)
+        timer = threading.Timer(remaining, release_slot)
         timer.daemon = True
         timer.start()
 
     def cancel(
-        self, address: str, request_id: str, deadline: float, release: Callable[[], None]
+        self, address: str, request_id: str, deadline: float, release_slot: Callable[[], None]
     ) -> None:
         """Ask a back end to cancel a request, and release its slot as soon as it has.
 
@@ -54,18 +54,18 @@
             address: ``IP:port`` of the back end.
             request_id: id of a repeatable request.
             deadline: monotonic deadline sent to the back end.
-            release: releases the slot.
+            release_slot: releases the slot.
         """
-        self._workers.submit(self._cancel, address, request_id, deadline, release)
+        self._workers.submit(self._cancel, address, request_id, deadline, release_slot)
 
     def _cancel(
-        self, address: str, request_id: str, deadline: float, release: Callable[[], None]
+        self, address: str, request_id: str, deadline: float, release_slot: Callable[[], None]
     ) -> None:
         if steady_seconds() > deadline + _OVERRUN_SECONDS:
-            release()
+            release_slot()
         elif self._forwarder.cancel(address, request_id):
             self._metrics.increment("requests.cancelled")
-            release()
+            release_slot()
         else:
             self._metrics.increment("requests.cancel_failed")
-            self.release_at_deadline(deadline, release)
+            self.release_at_deadline(deadline, release_slot)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/request_runner.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/request_runner.py
@@ -249,12 +249,12 @@
         self._may_have_run = True
         self._bound_guard.note_broken(back_end, error)
         # The back end may work on the request until its deadline, so the slot stays occupied.
-        release = partial(self._admission.release, hold)
+        release_slot = partial(self._admission.release, hold)
         if self._request.repeatable:
             request_id = self._request.forwarded.request_id
-            self._given_up.cancel(back_end.address, request_id, self._deadline, release)
+            self._given_up.cancel(back_end.address, request_id, self._deadline, release_slot)
         else:
-            self._given_up.release_at_deadline(self._deadline, release)
+            self._given_up.release_at_deadline(self._deadline, release_slot)
 
     def _may_try_again(self, error: KitekeelError, tries: int) -> bool:
         if isinstance(error, _GrantEndedError):
