--- a/packages/kitekeel-steering/src/kitekeel_steering/admission.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/admission.py
@@ -1,7 +1,7 @@
-"""Admission of one service in one daemon: who gets a slot, who waits, who is refused.
+"""Admission of one service in one daemon: grants slots, queues requests and refuses them.
 
-Waiting requests stand in one queue, the most urgent class first and within a class in the order of
-arrival. Each is served, refused or displaced at once when that is decided; none is held back.
+Waiting requests share one queue, ordered by the urgency of their class and then by arrival. A
+request is notified as soon as it is served, refused or displaced.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 from kitekeel_steering.shift_health import ShiftHealth
 from kitekeel_steering.waiter import ServedRate, Waiter
 
-_LEAST_RETRY_AFTER_SECONDS = 1.0
+_MIN_RETRY_AFTER_SECONDS = 1.0
 
 
 class PoolUse(msgspec.Struct, frozen=True):
-    """Slots of one pool in this daemon, for status answers."""
+    """Slots of one pool in this daemon, for status responses."""
 
     pool: PoolName
     held: int
@@ -46,14 +46,15 @@
     """Slots, queue and shifts of one service in one daemon; safe to call from many threads.
 
     Attributes:
-        table_type: holds the slots of one pool; a subclass may choose among them otherwise.
+        table_type: the class that manages the slots of one pool; a subclass may select slots by
+            another rule.
 
     Args:
         service: the service's name.
-        identity: who the holder of the slots is.
-        clock: times waits and grants.
-        timing: lives and intervals of grants.
-        on_demand: called, under the lock, when a pool should be asked for slots soon; it must
+        identity: identifies this daemon as the holder of the slots.
+        clock: measures waits and grant lifetimes.
+        timing: grant lifetimes and exchange intervals.
+        on_demand: called with the lock held when slots of a pool should be requested soon; it must
             not block.
     """
 
@@ -85,11 +86,11 @@
         self._order = itertools.count()
 
     def configure(self, configuration: Configuration, queue_share: float = 1.0) -> None:
-        """Take a configuration; drained back ends get nothing from here on.
+        """Apply a configuration; drained back ends get no more requests.
 
         Args:
-            configuration: the one in force.
-            queue_share: part of each class's waiting places that this daemon has threads for.
+            configuration: the current configuration.
+            queue_share: part of each class's queue places for which this daemon has threads.
         """
         with self._lock:
             self._queue_share = queue_share
@@ -107,46 +108,47 @@
         again: SlotHold | None = None,
         least_seconds: float = 0.0,
     ) -> SlotHold:
-        """Return a slot for a request, waiting for one while an answer can still be in time.
+        """Return a slot for a request, waiting for one while it can still be answered in time.
 
-        A request that gets a slot at once may use all the time it has left. One that waits does so
-        until the time left falls to the 96th percentile of the recent answer times of its class.
+        A request that gets a slot immediately may use all of its remaining time. A request that
+        waits does so until its remaining time falls to the 96th percentile of the recent answer
+        times of its class.
 
         Args:
             class_name: the request's priority class.
             deadline: monotonic time.
-            excluded: back ends that must not be chosen, such as those that failed it before.
-            again: the slot of the earlier try, where this is a retry. A retry keeps its order of
-                arrival and is not refused for a full queue.
-            least_seconds: with less time left a slot is of no use.
+            excluded: back ends that must not be chosen, such as those that already failed it.
+            again: the slot of the previous attempt, if this is a retry. A retry keeps its order of
+                arrival and is not refused because of a full queue.
+            least_seconds: minimum remaining time for which a slot is still useful.
 
         Raises:
-            NotRunError: one of its kinds, each saying why and when to come back.
+            NotRunError: a subclass that states the reason and when to retry.
         """
         with self._lock:
             if self._clock.monotonic() > deadline - least_seconds:
-                raise NoRoomError("too little time was left", _LEAST_RETRY_AFTER_SECONDS)
-            waiter = self._enter(class_name, excluded, again)
+                raise NoRoomError("too little time is left", _MIN_RETRY_AFTER_SECONDS)
+            waiter = self._enqueue(class_name, excluded, again)
             self._serve()
             latest_start = deadline - max(least_seconds, self._times_of(class_name).slow_seconds())
             if waiter.hold is None and waiter.refusal is None:
                 waiter.latest_start = latest_start
-                self._refuse_if_hopeless(waiter, latest_start)
+                self._refuse_if_too_late(waiter, latest_start)
         if waiter.hold is None and waiter.refusal is None:
             self._wait(waiter, latest_start)
         with self._lock:
-            self._leave(waiter)
-            self._give_back_late(waiter)
+            self._remove_from_queue(waiter)
+            self._release_if_late(waiter)
         if waiter.refusal is not None:
             raise waiter.refusal
         if waiter.hold is None:
             raise self._no_room(waiter.priority_class)
         return waiter.hold
 
-    def _give_back_late(self, waiter: Waiter) -> None:
-        """Give a slot back whose request's thread came too late to use it.
+    def _release_if_late(self, waiter: Waiter) -> None:
+        """Release a slot if the request's thread woke up too late to use it.
 
-        With too little processor time it may come seconds after the slot was given.
+        With too little processor time, a thread may wake up seconds after the slot was assigned.
         """
         hold = waiter.hold
         if hold is not None and self._clock.monotonic() > waiter.latest_start:
@@ -154,18 +156,18 @@
             self.release(hold)
 
     def release(self, hold: SlotHold) -> None:
-        """Give a slot back and serve the next in the queue with it."""
+        """Release a slot and assign it to the next request in the queue."""
         with self._lock:
             self._tables[hold.pool].release(hold)
             self._serve()
 
     def may_start(self, hold: SlotHold) -> bool:
-        """Tell whether the grant behind a taken slot still holds."""
+        """Return whether the grant of a taken slot is still valid and its back end not drained."""
         with self._lock:
             return self._tables[hold.pool].may_start() and hold.back_end not in self._drained
 
     def note_result(self, hold: SlotHold, succeeded: bool, seconds: float) -> None:
-        """Count how a back end answered; hold the ramps of shifts whose target answers badly."""
+        """Record a back end's answer; pause the ramps of shifts whose target is unhealthy."""
         with self._lock:
             self._tables[hold.pool].note_result(hold.back_end, succeeded, seconds)
             if succeeded and seconds > 0:
@@ -185,32 +187,32 @@
             return self._table(pool).prepare_exchange(after_silence, voting, echo)
 
     def apply_reply(self, pool: PoolName, reply: ExchangeReply) -> None:
-        """Take a keeper's grants and serve the queue with them."""
+        """Apply a keeper's grants and assign the granted slots to waiting requests."""
         with self._lock:
             if self._table(pool).apply_reply(reply):
                 self._serve()
 
     def pools(self) -> list[PoolUse]:
-        """Return the pools that this daemon holds slots of."""
+        """Return the slot use of each pool that this daemon has used."""
         with self._lock:
             return [
                 PoolUse(pool, table.held(), table.in_use()) for pool, table in self._tables.items()
             ]
 
     def is_idle(self, pool: PoolName, seconds: float) -> bool:
-        """Tell whether a pool has not been used for some time."""
+        """Return whether a pool has been unused for longer than the given time."""
         with self._lock:
             table = self._table(pool)
             unused = self._clock.monotonic() - table.last_used_at
             return unused > seconds and table.in_use() == 0
 
     def has_unmet_demand(self, pool: PoolName) -> bool:
-        """Tell whether requests wait for slots of a pool."""
+        """Return whether requests are waiting for slots of a pool."""
         with self._lock:
             return self._table(pool).has_unmet_demand()
 
     def waiting(self) -> dict[str, int]:
-        """Return how many requests of each class wait."""
+        """Return the number of waiting requests of each class."""
         with self._lock:
             counts: dict[str, int] = {}
             for waiter in self._waiters:
@@ -219,7 +221,7 @@
             return counts
 
     def shift_counts(self) -> dict[str, tuple[int, int, float]]:
-        """Return eligible and moved requests and the present share of each shift."""
+        """Return the eligible requests, moved requests and current share of each shift."""
         with self._lock:
             return {
                 name: (each.eligible, each.moved, each.share())
@@ -239,7 +241,7 @@
                 self._shifts[name] = ShiftCounter(shift, self._clock)
                 self._shift_health[name] = ShiftHealth()
 
-    def _enter(self, class_name: str, excluded: frozenset[str], again: SlotHold | None) -> Waiter:
+    def _enqueue(self, class_name: str, excluded: frozenset[str], again: SlotHold | None) -> Waiter:
         service = self._configuration.find_service(self.service)
         priority_class = service.find_class(class_name) if service else None
         if priority_class is None:
@@ -248,7 +250,7 @@
         if not options:
             raise NoRoomError(f"every back end of '{self.service}' is drained", 5.0)
         if again is None:
-            self._make_place(priority_class)
+            self._ensure_queue_place(priority_class)
         order = next(self._order) if again is None else again.queue_order
         options = self._with_shift(options, again)
         waiter = Waiter(priority_class, order, options, excluded, self._clock.monotonic())
@@ -256,8 +258,8 @@
         self._waiters.sort(key=lambda each: each.position)
         return waiter
 
-    def _make_place(self, priority_class: PriorityClass) -> None:
-        """Find a waiting place, pushing aside a request of a lesser class where that is allowed."""
+    def _ensure_queue_place(self, priority_class: PriorityClass) -> None:
+        """Ensure a queue place, displacing a request of a less urgent class if that is allowed."""
         names = {priority_class.name, *priority_class.pushes_aside}
         waiting = [each for each in self._waiters if each.priority_class.name in names]
         own = sum(each.priority_class.name == priority_class.name for each in waiting)
@@ -266,8 +268,8 @@
         last = waiting[-1] if waiting else None
         if last is None or last.priority_class.name == priority_class.name:
             wait = self._estimated_wait(priority_class)
-            raise QueueFullError("the waiting places of the class are taken", max(1.0, wait))
-        self._refuse(last, DisplacedError("a more urgent request took the place", 2.0))
+            raise QueueFullError("the queue of the class is full", max(1.0, wait))
+        self._refuse(last, DisplacedError("displaced by a more urgent request", 2.0))
 
     def _queue_places(self, priority_class: PriorityClass) -> int:
         if not priority_class.queue_places:
@@ -277,7 +279,7 @@
     def _with_shift(
         self, options: tuple[Candidate, ...], again: SlotHold | None
     ) -> tuple[Candidate, ...]:
-        """Put a shift's target first where this request is one that it moves."""
+        """Put a shift's target first if the shift moves this request."""
         source = options[0].pool.region
         for counter in self._shifts.values():
             shift = counter.shift
@@ -292,14 +294,14 @@
         return options
 
     def _serve(self) -> None:
-        """Give free slots to waiting requests, the most urgent first."""
+        """Assign free slots to waiting requests, the most urgent first."""
         now = self._clock.monotonic()
         asked: set[PoolName] = set()
         for waiter in list(self._waiters):
             if waiter.hold is not None or waiter.refusal is not None:
                 continue
             if now > waiter.latest_start:
-                # Its own thread is late to give up; the slot would be taken for nothing.
+                # The request's thread has not timed out yet, but could no longer use the slot.
                 self._refuse(waiter, self._no_room(waiter.priority_class))
                 continue
             self._try_options(waiter, now, asked)
@@ -317,7 +319,7 @@
             table = self._table(option.pool)
             hold = table.try_take(option.key, waiter.excluded, self._drained)
             if hold is not None:
-                self._decide(waiter, hold, now)
+                self._assign(waiter, hold, now)
                 return
             if index not in waiter.noted:
                 waiter.noted.add(index)
@@ -325,38 +327,40 @@
                 asked.add(option.pool)
 
     def _may_move(self, shift: str) -> bool:
-        """Ask the counter again at the decision: several waiting requests may see one turn."""
+        """Check the counter again, as several waiting requests may have got the same turn."""
         counter = self._shifts.get(shift)
         return counter is not None and counter.may_move_again()
 
-    def _decide(self, waiter: Waiter, hold: SlotHold, now: float) -> None:
+    def _assign(self, waiter: Waiter, hold: SlotHold, now: float) -> None:
         waiter.hold = msgspec.structs.replace(hold, queue_order=waiter.order)
         counter = self._shifts.get(hold.key.shift)
         if counter is not None:
             counter.note_moved()
         self._rates.setdefault(waiter.priority_class.name, ServedRate()).note(now)
-        self._forget_waiting(waiter)
+        self._stop_counting_as_waiting(waiter)
         waiter.decided.set()
 
     def _refuse(self, waiter: Waiter, refusal: NotRunError) -> None:
         waiter.refusal = refusal
-        self._forget_waiting(waiter)
+        self._stop_counting_as_waiting(waiter)
         waiter.decided.set()
         self._waiters.remove(waiter)
 
     def _times_of(self, class_name: str) -> RecentTimes:
         return self._recent_times.setdefault(class_name, RecentTimes())
 
-    def _refuse_if_hopeless(self, waiter: Waiter, latest_start: float) -> None:
-        """Refuse at once a request that the queue cannot reach in time."""
+    def _refuse_if_too_late(self, waiter: Waiter, latest_start: float) -> None:
+        """Refuse a request immediately if its estimated wait exceeds the time it has left."""
         wait = self._estimated_wait(waiter.priority_class, waiter)
         remaining = latest_start - self._clock.monotonic()
         if wait > remaining:
-            retry_after = max(_LEAST_RETRY_AFTER_SECONDS, wait - remaining)
-            self._refuse(waiter, NoRoomError("the queue is longer than the deadline", retry_after))
+            retry_after = max(_MIN_RETRY_AFTER_SECONDS, wait - remaining)
+            self._refuse(
+                waiter, NoRoomError("the estimated wait exceeds the deadline", retry_after)
+            )
 
     def _estimated_wait(self, priority_class: PriorityClass, waiter: Waiter | None = None) -> float:
-        """Estimate the seconds until a waiter, by default the last of the class, is served."""
+        """Estimate the seconds until a waiter, by default the last of its class, is served."""
         rate = self._rates.get(priority_class.name)
         if rate is None or rate.per_second <= 0:
             return 0.0
@@ -367,34 +371,34 @@
         return max(0, ahead) / rate.per_second
 
     def _wait(self, waiter: Waiter, latest_start: float) -> None:
-        """Wait for a decision, looking again whenever a farther region comes into question."""
+        """Wait for a decision, retrying whenever another region becomes eligible."""
         for option in waiter.options:
             if option.after_seconds <= 0:
                 continue
-            comes_at = waiter.arrived_at + option.after_seconds
-            if comes_at >= latest_start:
+            eligible_at = waiter.arrived_at + option.after_seconds
+            if eligible_at >= latest_start:
                 break
-            if waiter.decided.wait(max(0.0, comes_at - self._clock.monotonic())):
+            if waiter.decided.wait(max(0.0, eligible_at - self._clock.monotonic())):
                 return
             with self._lock:
                 self._serve()
         waiter.decided.wait(max(0.0, latest_start - self._clock.monotonic()))
 
-    def _leave(self, waiter: Waiter) -> None:
-        """Take the request out of the queue; under the lock, so that no slot can be lost."""
-        self._forget_waiting(waiter)
+    def _remove_from_queue(self, waiter: Waiter) -> None:
+        """Remove the request from the queue; the caller holds the lock, so that no slot is lost."""
+        self._stop_counting_as_waiting(waiter)
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
-    def _forget_waiting(self, waiter: Waiter) -> None:
+    def _stop_counting_as_waiting(self, waiter: Waiter) -> None:
         for index in waiter.noted:
             option = waiter.options[index]
             self._table(option.pool).note_waiting(option.key, -1)
         waiter.noted.clear()
 
     def _no_room(self, priority_class: PriorityClass) -> NoRoomError:
-        retry_after = max(_LEAST_RETRY_AFTER_SECONDS, self._estimated_wait(priority_class))
-        return NoRoomError("no region had room before the deadline", retry_after)
+        retry_after = max(_MIN_RETRY_AFTER_SECONDS, self._estimated_wait(priority_class))
+        return NoRoomError("no region had a free slot before the deadline", retry_after)
 
     def _table(self, pool: PoolName) -> GrantTable:
         table = self._tables.get(pool)
--- a/packages/kitekeel-steering/src/kitekeel_steering/grant_messages.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/grant_messages.py
@@ -1,7 +1,7 @@
 """Messages between a holder of slot grants and the keeper of a pool.
 
-A pool is the back ends of one service in one region. Sizes: an exchange is some 100 bytes, and 20
-for each back end named in it.
+A pool consists of the back ends of one service in one region. An exchange takes about 100 bytes
+plus 20 for each back end in it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class PoolName(msgspec.Struct, frozen=True, array_like=True):
-    """The back ends of one service in one region."""
+    """Identifies the back ends of one service in one region."""
 
     service: str
     region: str
@@ -22,18 +22,18 @@
 
 
 class DemandKey(msgspec.Struct, frozen=True, array_like=True):
-    """What slots are asked for: a class, and the shift that moves the work (empty for none)."""
+    """What slots are requested for: a class, and the shift that moves the work (empty for none)."""
 
     priority_class: str
     shift: str = ""
 
 
 class Demand(msgspec.Struct, frozen=True, array_like=True):
-    """How many slots a holder asks for under one key.
+    """The number of slots that a holder requests for one key.
 
     Attributes:
         needed: slots in use and requests waiting.
-        spare: further slots that it would keep idle for the next requests.
+        spare: additional slots that it would keep idle for upcoming requests.
     """
 
     key: DemandKey
@@ -45,8 +45,8 @@
     """The slots of one back end that a holder keeps.
 
     Attributes:
-        kept: slots it goes on holding; never fewer than those in use.
-        in_use: slots with work on them.
+        kept: slots that it continues to hold; never fewer than those in use.
+        in_use: slots that are running work.
     """
 
     back_end: str
@@ -55,7 +55,7 @@
 
 
 class ResultCount(msgspec.Struct, frozen=True, array_like=True):
-    """How the answers of one back end went since the last exchange."""
+    """Successes and failures of one back end since the last exchange."""
 
     back_end: str
     successes: int
@@ -64,16 +64,18 @@
 
 
 class ExchangeRequest(msgspec.Struct, frozen=True, array_like=True):
-    """What a holder tells the keeper; each one also renews its grants.
+    """A holder's request to the keeper, which also renews its grants.
 
     Attributes:
         place: the entry machine's number in its region, 0 for a holder of another region.
-        sequence: grows with each request, so that a late one is known as such.
+        sequence: increases with each request, so that late messages can be detected.
         key_use: slots in use under each key, which the keeper counts against caps.
-        keeper: the instance that is asked; a new process at its address must not answer for it.
+        keeper: the addressed instance; a new process at the same address must not answer for it.
         echo: ``keeper_time`` of this keeper's last reply, 0 for none. The request was sent after
-            it, so the keeper dates the vote by its own clock and trusts no network delay.
-        after_silence: the holder turned to this keeper because the last one fell silent.
+            that reply, so the keeper can date the vote by its own clock without any assumption
+            about network delay.
+        after_silence: whether the holder switched to this keeper because the previous one stopped
+            responding.
     """
 
     pool: PoolName
@@ -98,14 +100,14 @@
 
 
 class Quota(msgspec.Struct, frozen=True, array_like=True):
-    """How many slots under one key."""
+    """How many slots the holder may use for one key."""
 
     key: DemandKey
     slots: int
 
 
 class KeeperState(enum.Enum):
-    """Whether the asked daemon may grant."""
+    """Whether the addressed daemon may grant slots."""
 
     GRANTING = "granting"
     NO_AUTHORITY = "no-authority"
@@ -113,11 +115,11 @@
 
 
 class ExchangeReply(msgspec.Struct, frozen=True, array_like=True):
-    """What the keeper grants until the time to live has passed since the request was sent.
+    """The keeper's grants, which are valid for the grant lifetime from the sending of the request.
 
     Attributes:
         authority: the share of the pool that the keeper may grant.
-        keeper_time: the keeper's monotonic clock, to be echoed in the next request.
+        keeper_time: the keeper's monotonic time, to be echoed in the next request.
     """
 
     sequence: int
--- a/packages/kitekeel-steering/src/kitekeel_steering/grant_table.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/grant_table.py
@@ -1,4 +1,4 @@
-"""The holder's side of one pool: the slots this daemon may use, and until when."""
+"""The holder's side of one pool: the slots that this daemon may use, and until when."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class SlotHold(msgspec.Struct, frozen=True):
-    """One slot taken for one request.
+    """A slot taken for a request.
 
     Attributes:
         taken_at: monotonic time in seconds.
@@ -37,12 +37,12 @@
 
 
 class HolderIdentity(msgspec.Struct, frozen=True):
-    """Who the holder is.
+    """Identifies the holder.
 
     Attributes:
-        instance: name of this process start.
-        region: region it runs in.
-        place: its entry machine's number in the region, from 1.
+        instance: name that is unique to this run of the process.
+        region: the region in which it runs.
+        place: number of its entry machine in the region, from 1.
     """
 
     instance: str
@@ -51,26 +51,26 @@
 
 
 class _Peak:
-    """The most of a figure over about the last second."""
+    """The maximum of a value over the last one to two windows."""
 
     def __init__(self) -> None:
         self._previous = 0
-        self._present = 0
+        self._current = 0
         self._started_at = 0.0
 
     def note(self, value: int, now: float) -> int:
         if now - self._started_at > _PEAK_WINDOW_SECONDS:
-            self._previous = self._present
-            self._present = 0
+            self._previous = self._current
+            self._current = 0
             self._started_at = now
-        self._present = max(self._present, value)
-        return max(self._previous, self._present)
+        self._current = max(self._current, value)
+        return max(self._previous, self._current)
 
 
 class GrantTable:
     """Slots of one pool held by this daemon.
 
-    Not thread-safe: the admission of the service calls it under its own lock.
+    Not thread-safe: the service's admission calls it under its own lock.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
     def try_take(
         self, key: DemandKey, excluded: frozenset[str], drained: frozenset[str]
     ) -> SlotHold | None:
-        """Take a free slot of the least used back end, if the grants allow one now."""
+        """Take a free slot of the least loaded back end, if the current grants allow one."""
         now = self._clock.monotonic()
         if now >= self._expires_at:
             return None
@@ -110,16 +110,16 @@
         return SlotHold(self.pool, key, best, now)
 
     def may_start(self) -> bool:
-        """Tell whether work may be sent on a taken slot now; asked again before every send."""
+        """Return whether work may be sent on a taken slot now; checked before every send."""
         return self._clock.monotonic() < self._expires_at
 
     def release(self, hold: SlotHold) -> None:
-        """Give a slot back after its request has ended."""
+        """Release a slot after its request has ended."""
         self._in_use[hold.back_end] -= 1
         self._key_use[hold.key] -= 1
 
     def note_result(self, back_end: str, succeeded: bool, seconds: float) -> None:
-        """Count how an answer went, for the keeper's outlier detection."""
+        """Count an answer as success or failure, for the keeper's outlier detection."""
         last = self._results.get(back_end, ResultCount(back_end, 0, 0, 0.0))
         self._results[back_end] = ResultCount(
             back_end,
@@ -129,35 +129,35 @@
         )
 
     def note_waiting(self, key: DemandKey, change: int) -> None:
-        """Count a request that begins (1) or ceases (-1) to wait for a slot of this pool."""
+        """Count a request that starts (1) or stops (-1) waiting for a slot of this pool."""
         self._waiting[key] = self._waiting.get(key, 0) + change
         if change > 0:
             self.last_used_at = self._clock.monotonic()
 
     def in_use(self) -> int:
-        """Return how many slots have work on them."""
+        """Return the number of slots in use."""
         return sum(self._in_use.values())
 
     def held(self) -> int:
-        """Return how many slots this daemon may use, 0 after the grants' end."""
+        """Return how many slots this daemon may use; 0 after the grants have expired."""
         return sum(self._allowed.values()) if self.may_start() else 0
 
     def has_unmet_demand(self) -> bool:
-        """Tell whether requests wait for slots of this pool."""
+        """Return whether requests are waiting for slots of this pool."""
         return any(count > 0 for count in self._waiting.values())
 
     def prepare_exchange(self, after_silence: bool, voting: bool, echo: float) -> ExchangeRequest:
-        """Give back idle slots that are not wanted, and build the next request to the keeper.
+        """Give back unneeded idle slots and build the next request to the keeper.
 
-        The slots given back are unusable from here on, before the keeper learns of it. So the
-        keeper may hand them on as soon as it reads the request.
+        This daemon stops using the slots before the keeper is informed, so the keeper may grant
+        them to another holder as soon as it reads the request.
         """
         now = self._clock.monotonic()
         demands = self._demands(now)
         wanted = sum(each.needed + each.spare for each in demands)
-        self._keep_at_most(min(wanted, sum(self._quotas.values())))
+        self._give_back_above(min(wanted, sum(self._quotas.values())))
         if now >= self._expires_at:
-            self._keep_at_most(0)
+            self._give_back_above(0)
         self._sequence += 1
         self._sent_at = now
         results = tuple(self._results.values())
@@ -177,7 +177,7 @@
         )
 
     def apply_reply(self, reply: ExchangeReply) -> bool:
-        """Take the keeper's grants; a reply to any but the latest request is ignored."""
+        """Apply the keeper's grants; only a reply to the latest request is accepted."""
         if reply.sequence != self._sequence:
             return False
         life = self._timing.grant_life_seconds - self._timing.clock_margin_seconds
@@ -210,8 +210,8 @@
                 demands.append(Demand(key, needed, peak - needed + _SPARE_SLOTS))
         return tuple(demands)
 
-    def _keep_at_most(self, total: int) -> None:
-        """Give back idle slots, from the back end with the most of them, down to a total."""
+    def _give_back_above(self, total: int) -> None:
+        """Give back idle slots down to a total, always from the back end with the most of them."""
         while sum(self._allowed.values()) > max(total, self.in_use()):
             idle = {
                 name: allowed - self._in_use.get(name, 0) for name, allowed in self._allowed.items()
--- a/packages/kitekeel-steering/src/kitekeel_steering/grant_timing.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/grant_timing.py
@@ -1,14 +1,15 @@
-"""The times that make grants safe, and the relations between them.
+"""The time limits that make grants safe, and the relations between them.
 
-A holder counts a grant's life from the moment it *sent* the request, the keeper from the moment it
-*received* it, so the keeper's end is always the later one. A voter promises its vote to one keeper
-until ``switch_seconds`` after it last sent to it. The keeper dates a vote by the last of its own
-replies that the voter has seen, and counts it for ``vote_freshness_seconds`` from then. Therefore
+A holder measures a grant's lifetime from when it *sent* the request, the keeper from when it
+*received* it, so a grant always ends later for the keeper than for the holder. A voter commits its
+vote to one keeper until ``switch_seconds`` after it last sent a request to it. The keeper dates a
+vote by the last of its own replies that the voter has received, and counts the vote for
+``vote_freshness_seconds`` from then. Therefore
 
     switch >= vote_freshness + grant_life
 
-makes every grant of a keeper end before its voters may turn to another one, however long messages
-were under way and however long the keeper was frozen.
+ensures that all grants of a keeper end before its voters may switch to another one, regardless of
+message delays and of how long the keeper was suspended.
 """
 
 from __future__ import annotations
@@ -17,16 +18,16 @@
 
 
 class GrantTiming(msgspec.Struct, frozen=True):
-    """All in seconds.
+    """Time limits and intervals of grants, in seconds.
 
     Attributes:
-        grant_life_seconds: how long a grant is good for, from sending the request.
+        grant_life_seconds: lifetime of a grant, from sending the request.
         exchange_interval_seconds: time between two renewals.
-        urgent_interval_seconds: least time between two exchanges when demand rises.
+        urgent_interval_seconds: minimum time between two exchanges when demand rises.
         call_timeout_seconds: how long a holder waits for a reply.
         vote_freshness_seconds: how long the keeper counts a vote.
-        report_lag_seconds: most time by which a back end's load report lags.
-        clock_margin_seconds: by how much earlier a holder stops than the grant's end.
+        report_lag_seconds: maximum lag of a back end's load report.
+        clock_margin_seconds: how long before the end of a grant a holder stops using it.
     """
 
     grant_life_seconds: float = 2.0
@@ -39,5 +40,5 @@
 
     @property
     def switch_seconds(self) -> float:
-        """Return how long a voter stays with a silent keeper."""
+        """Return how long a voter stays with a keeper that does not respond."""
         return self.vote_freshness_seconds + self.grant_life_seconds + self.clock_margin_seconds
--- a/packages/kitekeel-steering/src/kitekeel_steering/ledger.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/ledger.py
@@ -1,8 +1,8 @@
-"""The keeper's ledger of one pool: which holder may use how many slots of which back end.
+"""The keeper's ledger of one pool: how many slots of each back end each holder may use.
 
-Invariant: for each back end, the reserved slots of all holders together never exceed its room by a
-decision of the ledger. A reservation outlives its grant by the longest run of the service, because
-a holder that fell silent may still have work on the slot.
+Invariant: the ledger never makes a grant that raises the total of reserved slots of a back end
+above its room. A reservation outlives its grant by the service's longest run time, because a holder
+that stopped responding may still have work running on the slot.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 from kitekeel_steering.model import Configuration, Service
 from kitekeel_steering.pool_room import PoolRoom
 
-_WAY_SECONDS = 0.25
+_NETWORK_DELAY_SECONDS = 0.25
 
 
 class _Holder(msgspec.Struct):
-    """What the ledger knows of one holder."""
+    """The ledger's record of one holder."""
 
     origin_region: str
     place: int
@@ -51,9 +51,9 @@
 
     Args:
         pool: the pool's name.
-        clock: the keeper's clock; no other machine's time enters the ledger.
-        timing: lives and intervals.
-        room: what each back end can take.
+        clock: the keeper's clock; the ledger uses no other machine's time.
+        timing: grant lifetimes and exchange intervals.
+        room: computes how many slots of each back end may be in use.
     """
 
     def __init__(self, pool: PoolName, clock: Clock, timing: GrantTiming, room: PoolRoom) -> None:
@@ -71,7 +71,7 @@
         self._resigned = False
 
     def configure(self, configuration: Configuration, leaving: frozenset[str]) -> None:
-        """Take a configuration and the addresses of leaving machines."""
+        """Apply a configuration and the addresses of the machines that are leaving."""
         self._configuration = configuration
         self._service = configuration.find_service(self.pool.service)
         region = configuration.find_region(self.pool.region)
@@ -79,21 +79,21 @@
         self.room.configure(configuration, leaving)
 
     def resign(self) -> None:
-        """Grant nothing more, and tell holders to turn to the next keeper."""
+        """Stop granting, and direct holders to the next keeper."""
         self._resigned = True
 
     def exchange(self, request: ExchangeRequest) -> ExchangeReply:
-        """Renew a holder's grants and fit them to its demand."""
+        """Renew a holder's grants and adjust them to its demand."""
         if self._resigned:
             return self._reply(request, KeeperState.RESIGNED, (), ())
         self.votes.note(request.place, request.echo, request.after_silence)
-        self._drop_ended_holders()
+        self._remove_expired_holders()
         authority = self._update_term()
         holder = self._update_holder(request)
         if holder.sequence != request.sequence:
             return self._reply(request, KeeperState.GRANTING, (), ())
         if authority <= 0.0:
-            # Renewing what another keeper granted would let it outlive that keeper's reservation.
+            # Renewing a grant of another keeper would extend it past that keeper's reservation.
             return self._reply(request, KeeperState.NO_AUTHORITY, (), ())
         self._grant(holder, request, authority)
         allowances = self._allowances(holder, authority)
@@ -105,21 +105,21 @@
         return self.votes.authority(self._places)
 
     def reserved(self, back_end: str) -> int:
-        """Return the slots of a back end that holders have."""
+        """Return how many slots of a back end are reserved for holders."""
         return sum(each.reserved.get(back_end, 0) for each in self._holders.values())
 
     def in_use(self, back_end: str) -> int:
-        """Return the slots of a back end with work on them, as the holders last said."""
+        """Return how many slots of a back end are in use, as last reported by the holders."""
         return sum(each.in_use.get(back_end, 0) for each in self._holders.values())
 
     def total_room(self) -> int:
-        """Return the room of the whole pool."""
+        """Return the room of all back ends of the pool together."""
         return sum(self._room_of(each.name) for each in self.room.back_ends())
 
     def held_back(self) -> int:
-        """Return the slots of the pool that holders unknown to a new keeper may be using."""
+        """Return how many slots are withheld for holders that a new keeper does not know yet."""
         names = [each.name for each in self.room.back_ends()]
-        return sum(self._held_back(name, self.reserved(name)) for name in names)
+        return sum(self._withheld_slots(name, self.reserved(name)) for name in names)
 
     def _reply(
         self,
@@ -137,26 +137,26 @@
             self._clock.monotonic(),
         )
 
-    def _drop_ended_holders(self) -> None:
+    def _remove_expired_holders(self) -> None:
         now = self._clock.monotonic()
-        ended = [
+        expired = [
             name
             for name, holder in self._holders.items()
-            if now > holder.expires_at + self._longest_run()
+            if now > holder.expires_at + self._longest_run_seconds()
         ]
-        for name in ended:
+        for name in expired:
             del self._holders[name]
 
-    def _longest_run(self) -> float:
-        """Return how long work may last that was sent at the end of a grant, with its way there."""
+    def _longest_run_seconds(self) -> float:
+        """Return how long work sent at the end of a grant may run, including its network delay."""
         longest = self._service.longest_run_seconds if self._service else 0.0
-        return longest + _WAY_SECONDS
+        return longest + _NETWORK_DELAY_SECONDS
 
     def _update_term(self) -> float:
-        """Start a term whenever authority grows.
+        """Return the current authority, starting a new term whenever it increases.
 
-        The slots that another keeper may have granted are held back at the start of a term; so the
-        term must start anew also when half the authority becomes the whole.
+        Slots that another keeper may have granted are withheld at the start of a term, so a new
+        term must also start when the authority increases from half to the whole pool.
         """
         authority = self.authority()
         if authority > self._term_authority:
@@ -172,8 +172,8 @@
             self._holders[request.holder] = holder
         if request.sequence <= holder.sequence:
             return holder
-        # A claim may be above what is reserved only where this keeper is new to the holder or the
-        # reservation ended; the claim states a fact, so it is honoured either way.
+        # A claim exceeds the reservation only if this keeper is new to the holder or the
+        # reservation expired. The holder already has those slots, so the claim is always accepted.
         holder.reserved = {each.back_end: each.kept for each in request.claims if each.kept}
         holder.in_use = {each.back_end: each.in_use for each in request.claims if each.in_use}
         holder.demands = {each.key: each for each in request.demands}
@@ -184,15 +184,15 @@
     def _grant(self, holder: _Holder, request: ExchangeRequest, authority: float) -> None:
         free = self._free_by_back_end(authority)
         used = {quota.key: quota.slots for quota in request.key_use}
-        holder.quotas = self._fit_quotas(holder, used, authority, sum(free.values()))
+        holder.quotas = self._compute_quotas(holder, used, authority, sum(free.values()))
         wanted = sum(holder.quotas.values()) - sum(holder.reserved.values())
-        for name in _spread(free, wanted):
+        for name in _pick_back_ends(free, wanted):
             holder.reserved[name] = holder.reserved.get(name, 0) + 1
 
     def _allowances(self, holder: _Holder, authority: float) -> tuple[Allowance, ...]:
-        """Return what the holder may use on: its reservation, less what is above the room.
+        """Return the slots that the holder may use: its reservation without any excess over room.
 
-        The reservation itself stays until the holder's next claim shows that it has let go.
+        The reservation itself is kept until the holder's next claim shows that it gave slots back.
         """
         allowances: list[Allowance] = []
         for name, slots in holder.reserved.items():
@@ -209,7 +209,7 @@
         for back_end in self.room.back_ends():
             reserved = self.reserved(back_end.name)
             room = int(self._room_of(back_end.name) * authority)
-            slots = room - reserved - self._held_back(back_end.name, reserved)
+            slots = room - reserved - self._withheld_slots(back_end.name, reserved)
             if slots > 0:
                 free[back_end.name] = slots
         return free
@@ -217,35 +217,38 @@
     def _room_of(self, back_end: str) -> int:
         return self.room.room(back_end, self.in_use(back_end))
 
-    def _held_back(self, back_end: str, reserved: int) -> int:
-        """Return slots that holders unknown to a new keeper may still be using.
+    def _withheld_slots(self, back_end: str, reserved: int) -> int:
+        """Return how many slots holders unknown to a new keeper may still be using.
 
-        They are held back for the longest run; a load report measured after the last grant of the
-        former keeper ended, with its lag, shows earlier how many really are in use.
+        They are withheld for the longest run time. A load report that was measured after the last
+        grant of the previous keeper ended, allowing for the report's lag, shows earlier how many
+        are actually in use.
         """
         age = self._clock.monotonic() - self._term_started_at
         unknown = max(0, self.room.slots(back_end) - reserved)
-        quiet_seconds = self._quiet_seconds()
-        if age < quiet_seconds:
+        previous_grant_seconds = self._previous_grant_seconds()
+        if age < previous_grant_seconds:
             return unknown
-        if age >= quiet_seconds + self._longest_run():
+        if age >= previous_grant_seconds + self._longest_run_seconds():
             return 0
-        trusted_from = self._term_started_at + quiet_seconds + self._timing.report_lag_seconds
+        trusted_from = (
+            self._term_started_at + previous_grant_seconds + self._timing.report_lag_seconds
+        )
         running = self.room.reports.running_since(back_end, trusted_from)
         if running is None:
             return unknown
         return min(unknown, max(0, running - self.in_use(back_end)))
 
-    def _quiet_seconds(self) -> float:
-        """Return how long grants of another keeper may outlive the start of the term.
+    def _previous_grant_seconds(self) -> float:
+        """Return how long grants of another keeper may remain valid after the start of the term.
 
-        Where each voter came here after its former keeper's silence, they have ended already.
+        They have already expired if every voter switched only after its previous keeper timed out.
         """
         if self.votes.all_after_silence():
             return 0.0
         return self._timing.grant_life_seconds
 
-    def _fit_quotas(
+    def _compute_quotas(
         self, holder: _Holder, used: dict[DemandKey, int], authority: float, free: int
     ) -> dict[DemandKey, int]:
         if self._service is None:
@@ -263,7 +266,7 @@
                 fair = -(-allocation[key.priority_class] * demand.needed // total)
                 limit = self._limit(holder, key, allocation[key.priority_class])
                 quotas[key] = max(used.get(key, 0), min(demand.needed, fair, limit))
-        self._add_spare(holder, quotas, room, free)
+        self._add_spare_slots(holder, quotas, room, free)
         return quotas
 
     def _needed_by_class(self) -> dict[str, int]:
@@ -274,24 +277,24 @@
         return needed
 
     def _limit(self, holder: _Holder, key: DemandKey, class_slots: int) -> int:
-        """Return the most slots for a key that leave class, shift and link within theirs."""
-        limits = [class_slots - self._quota_of_others(holder, _same_class(key))]
+        """Return the most slots for a key within the limits of its class, shift and link."""
+        limits = [class_slots - self._quota_of_others(holder, _class_filter(key))]
         shift = next((each for each in self._configuration.shifts if each.name == key.shift), None)
         if shift is not None and shift.slot_cap:
-            limits.append(shift.slot_cap - self._quota_of_others(holder, _same_shift(key)))
+            limits.append(shift.slot_cap - self._quota_of_others(holder, _shift_filter(key)))
         link_limit = self._link_limit(holder.origin_region)
         if link_limit is not None:
             limits.append(link_limit - self._origin_quota(holder))
         return max(0, min(limits))
 
     def _link_limit(self, origin_region: str) -> int | None:
-        """Return this pool's part of a link's limit: it is divided evenly between the services."""
+        """Return this pool's part of a link's limit, which is divided evenly between services."""
         link = self._configuration.find_link(origin_region, self.pool.region)
         if origin_region == self.pool.region or link is None or not link.request_limit:
             return None
         return link.request_limit // max(1, len(self._configuration.services))
 
-    def _quota_of_others(self, holder: _Holder, matches: _KeyTest) -> int:
+    def _quota_of_others(self, holder: _Holder, matches: _KeyFilter) -> int:
         return sum(
             slots
             for other in self._holders.values()
@@ -307,26 +310,26 @@
             if other is not holder and other.origin_region == holder.origin_region
         )
 
-    def _add_spare(
+    def _add_spare_slots(
         self, holder: _Holder, quotas: dict[DemandKey, int], room: int, free: int
     ) -> None:
-        """Lend idle slots that nobody needs; the holder gives them back when others do."""
+        """Add slots that no holder needs; they are given back when another holder needs them."""
         if self._service is None:
             return
-        lacking = sum(quotas.values()) - sum(holder.reserved.values())
-        spare = (free - max(0, lacking)) // max(1, len(self._holders))
+        missing = sum(quotas.values()) - sum(holder.reserved.values())
+        spare = (free - max(0, missing)) // max(1, len(self._holders))
         for key, demand in holder.demands.items():
             priority_class = self._service.find_class(key.priority_class)
             if spare <= 0 or priority_class is None or key.shift:
                 continue
             limit = self._limit(holder, key, most_slots(room, priority_class)) - quotas[key]
-            lent = max(0, min(demand.spare, spare, limit))
-            quotas[key] += lent
-            spare -= lent
+            added = max(0, min(demand.spare, spare, limit))
+            quotas[key] += added
+            spare -= added
 
 
-class _KeyTest(msgspec.Struct, frozen=True):
-    """Tells whether a demand key belongs to a class or to a shift."""
+class _KeyFilter(msgspec.Struct, frozen=True):
+    """Predicate that matches the demand keys of one class or one shift."""
 
     priority_class: str = ""
     shift: str = ""
@@ -337,16 +340,16 @@
         return key.priority_class == self.priority_class
 
 
-def _same_class(key: DemandKey) -> _KeyTest:
-    return _KeyTest(priority_class=key.priority_class)
+def _class_filter(key: DemandKey) -> _KeyFilter:
+    return _KeyFilter(priority_class=key.priority_class)
 
 
-def _same_shift(key: DemandKey) -> _KeyTest:
-    return _KeyTest(shift=key.shift)
+def _shift_filter(key: DemandKey) -> _KeyFilter:
+    return _KeyFilter(shift=key.shift)
 
 
-def _spread(free: dict[str, int], wanted: int) -> Iterable[str]:
-    """Yield back ends for the wanted slots, each time the one with the most free slots."""
+def _pick_back_ends(free: dict[str, int], wanted: int) -> Iterable[str]:
+    """Yield a back end for each wanted slot, always the one with the most free slots left."""
     left = dict(free)
     for _ in range(wanted):
         if not left:
--- a/packages/kitekeel-steering/src/kitekeel_steering/placement.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/placement.py
@@ -1,4 +1,4 @@
-"""Which regions may take a request, in which order, and from when on."""
+"""Determines which regions may serve a request, in which order and after what wait."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A pool that may take the request once it has waited for some time.
+    """A pool that may serve the request once it has waited for some time.
 
     Attributes:
-        after_seconds: time in the queue from which the pool comes into question. A request goes to
-            a farther region only after waiting as long as the way there and back would add.
+        after_seconds: queueing time after which the pool becomes eligible. A request goes to a more
+            distant region only after it has waited for as long as the additional round trip takes.
     """
 
     pool: PoolName
@@ -22,7 +22,7 @@
 
 
 def nearest_regions(configuration: Configuration, service: str, region: str) -> list[str]:
-    """Return the regions with back ends of the service that are not drained, nearest first."""
+    """Return the regions that have undrained back ends of the service, nearest first."""
     names = {
         back_end.region
         for back_end in configuration.back_ends
@@ -34,7 +34,7 @@
 def candidates(
     configuration: Configuration, service: str, region: str, priority_class: str
 ) -> tuple[Candidate, ...]:
-    """Return the pools for a request of a daemon in a region, nearest first."""
+    """Return the pools for a request received by a daemon in a region, nearest first."""
     regions = nearest_regions(configuration, service, region)
     if not regions:
         return ()
--- a/packages/kitekeel-steering/src/kitekeel_steering/waiter.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/waiter.py
@@ -1,4 +1,4 @@
-"""A request that waits for a slot, and how fast its class is served."""
+"""A request that waits for a slot, and the rate at which its class is served."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
     Attributes:
         order: the request's order of arrival, which a retry keeps.
-        position: orders the queue: rank of the class, then arrival.
-        options: pools that may take it.
+        position: sort key of the queue: rank of the class, then order of arrival.
+        options: pools that may serve it.
         excluded: back ends that must not be chosen.
         noted: indices of the options whose pools count it as waiting.
-        decided: set once there is a hold or a refusal.
-        latest_start: monotonic time after which a slot is of no use, once it waits.
+        decided: set once the request has a slot or is refused.
+        latest_start: monotonic time after which a slot is no longer useful to a waiting request.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.per_second = 0.0
 
     def note(self, now: float) -> None:
-        """Count one."""
+        """Count a request that got a slot."""
         elapsed = now - self._started_at
         if elapsed > _RATE_WINDOW_SECONDS:
             self.per_second = self._count / elapsed
