--- a/packages/kitekeel-steering/src/kitekeel_steering/key_division.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/key_division.py
@@ -1,8 +1,8 @@
-"""Divides the keys of one service among the regions, as back ends and demands change.
+"""Divides the keys of one service among the regions as back ends and demand change.
 
-The division follows observations that change by steps. What they change is taken over step by
-step, since callers expect at most 0.15 of a region's requests to move to other regions from one
-window of two seconds to the next while nothing fails.
+The observations behind the division change abruptly. Their effect is applied gradually, because
+callers expect at most 0.15 of a region's requests to move to other regions from one window of two
+seconds to the next while nothing fails.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from kitekeel_steering.slow_start import SlowStart
 from kitekeel_steering.spill_pressure import SpillPressure
 
-# Smaller changes of a target are not told: each back end that comes or goes changes it a little.
-_LEAST_TOLD_CHANGE = 0.05
+# Smaller changes of a target are not reported: each added or removed back end changes it a little.
+_MIN_REPORTED_CHANGE = 0.05
 
 
 class LocalShareTarget(msgspec.Struct, frozen=True):
-    """What a region's part of a service's keys moves toward, and why.
+    """The target of a region's share of a service's keys, and its reasons.
 
     Attributes:
-        value: the share at present, 0 to 1.
-        target: the share that it moves toward.
-        is_shared: whether other regions ask for the same objects.
-        is_pressed: whether the region gives keys away since it stays too busy for them.
-        room: the own region's part of the slots.
+        value: the current share, 0 to 1.
+        target: the share toward which it moves.
+        is_shared: whether other regions request the same objects.
+        is_pressed: whether the region gives keys away because it has been overloaded for a while.
+        room: the own region's share of the slots.
     """
 
     service: str
@@ -41,13 +41,13 @@
 
 
 class RegionObservations(msgspec.Struct, frozen=True):
-    """What a daemon observes of the regions.
+    """A daemon's observations of the regions.
 
     Attributes:
-        demand_by_region: returns how much each region's callers ask for, in any unit; the same
-            object until that changes.
-        is_shared: tells whether other regions ask for the same objects of a service.
-        on_target: is called where a region's share of keys begins to move.
+        demand_by_region: returns the demand of each region's callers, in any unit; the same object
+            until the demand changes.
+        is_shared: returns whether other regions request the same objects of a service.
+        on_target: called when a region's share of keys begins to move.
     """
 
     demand_by_region: Callable[[], Mapping[str, float]]
@@ -55,8 +55,8 @@
     on_target: Callable[[LocalShareTarget], None] = lambda _target: None
 
 
-class _Observed(msgspec.Struct, frozen=True):
-    """What a target was worked out from."""
+class _Observations(msgspec.Struct, frozen=True):
+    """The inputs from which a target was computed."""
 
     candidates: Candidates
     demand_by_region: Mapping[str, float]
@@ -65,19 +65,19 @@
 
 
 class KeyDivision:
-    """How one daemon divides the keys of a service that may go to the same back ends.
+    """One daemon's division of the keys of a service that may go to the same back ends.
 
     Args:
         service: the service.
-        own_region: where the daemon is.
-        regions: what the daemon observes of all regions.
-        candidates: the back ends at first.
+        own_region: the daemon's region.
+        regions: the daemon's observations of all regions.
+        candidates: the initial back ends.
         now: monotonic time in seconds.
 
     Attributes:
-        plan: the division at present.
-        factors: by which part of its slots a back end counts at present, where not whole; the same
-            object until one of them changes.
+        plan: the current division.
+        factors: the current slow-start weights of the back ends whose slots do not count in full;
+            the same object until one of them changes.
     """
 
     def __init__(
@@ -96,18 +96,18 @@
         self._is_pressed = False
         self._slow_start = SlowStart()
         self._slow_start.observe(candidates.members, now)
-        self._target = self._told_target = self._find_target()
+        self._target = self._reported_target = self._compute_target()
         self._share = GradualShare(self._target, now)
         self.plan = RegionPlan(own_region, self._target)
         self.factors = self._slow_start.factors()
 
     def follow(self, candidates: Candidates, now: float) -> None:
-        """Take over what has been observed since, as far as the time allows."""
-        if self._has_changed(candidates):
-            self._take_over(candidates, now)
+        """Apply new observations, as far as the elapsed time allows."""
+        if self._have_observations_changed(candidates):
+            self._apply_observations(candidates, now)
         if self._is_pressed is not self._pressure.is_sustained(now):
             self._is_pressed = not self._is_pressed
-            self._tell(0.0 if self._is_pressed else self._target)
+            self._report_target(0.0 if self._is_pressed else self._target)
         wanted = self._pressure.share_to_keep(self._share.value(), self._target, now)
         self._share.follow(wanted, now)
         value = self._share.value()
@@ -118,10 +118,10 @@
         self.factors = self._slow_start.factors()
 
     def note_held_back(self, now: float) -> None:
-        """Count a request refused since too many had left the region already."""
+        """Count a request refused because the region's spillover bound was reached."""
         self._pressure.note_held_back(now)
 
-    def _has_changed(self, candidates: Candidates) -> bool:
+    def _have_observations_changed(self, candidates: Candidates) -> bool:
         known = self._observed
         return (
             known.candidates is not candidates
@@ -129,48 +129,48 @@
             or known.is_shared is not self._regions.is_shared(self._service)
         )
 
-    def _take_over(self, candidates: Candidates, now: float) -> None:
-        """Find the new target.
+    def _apply_observations(self, candidates: Candidates, now: float) -> None:
+        """Compute the new target.
 
-        A region that has lost slots cannot serve what it served before, so that its share falls at
-        once; the other changes are followed step by step. Where there was no back end at all,
-        nothing was placed that could move.
+        A region that has lost slots can no longer serve its previous share, so its share drops
+        immediately; other changes are applied gradually. If there was no back end before, no
+        request was placed that could move, so the new target applies immediately.
         """
         before = self._observed
         self._observed = observed = self._observe(candidates, before)
         if candidates is not before.candidates:
             self._slow_start.observe(candidates.members, now)
-        self._target = self._find_target()
+        self._target = self._compute_target()
         if not before.room.all_slots:
             self._share = GradualShare(self._target, now)
         elif observed.room.own_slots < before.room.own_slots:
             room_share = local_share(observed.room, observed.demand_by_region, self._own_region)
             self._share.lower_to(room_share, now)
-        is_untold = abs(self._target - self._told_target) >= _LEAST_TOLD_CHANGE
-        if is_untold and not self._is_pressed:
-            self._tell(self._target)
+        is_unreported = abs(self._target - self._reported_target) >= _MIN_REPORTED_CHANGE
+        if is_unreported and not self._is_pressed:
+            self._report_target(self._target)
 
-    def _observe(self, candidates: Candidates, before: _Observed | None) -> _Observed:
+    def _observe(self, candidates: Candidates, before: _Observations | None) -> _Observations:
         if before is not None and before.candidates is candidates:
             room = before.room
         else:
             room = region_room(self._own_region, candidates.members)
         demand = self._regions.demand_by_region()
-        return _Observed(candidates, demand, self._regions.is_shared(self._service), room)
+        return _Observations(candidates, demand, self._regions.is_shared(self._service), room)
 
-    def _find_target(self) -> float:
-        """Return the part of the keys that the region keeps in the end.
+    def _compute_target(self) -> float:
+        """Return the share of the keys that the region should eventually keep.
 
-        Objects that all regions ask for have one list everywhere, so that each has one first back
-        end and not one in each region.
+        Objects that all regions request have the same list everywhere, so that each has a single
+        first back end instead of one in each region.
         """
         observed = self._observed
         if observed.is_shared:
             return 0.0
         return local_share(observed.room, observed.demand_by_region, self._own_region)
 
-    def _tell(self, target: float) -> None:
-        self._told_target = target
+    def _report_target(self, target: float) -> None:
+        self._reported_target = target
         observed = self._observed
         self._regions.on_target(
             LocalShareTarget(
--- a/packages/kitekeel-steering/src/kitekeel_steering/object_overlap.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/object_overlap.py
@@ -1,13 +1,13 @@
-"""Tells whether the callers of other regions ask for the same objects as those of the own one.
+"""Detects whether callers of other regions request the same objects as those of the own region.
 
-Where they do, a region that kept a copy of its own of each object would need as many copies as
-there are regions, and caches would hold few of them. Daemons send each other samples of the objects
-that they were asked for lately. How many of a sample a daemon knows depends on how many requests
-each of them gets, so samples of other regions are held against those of the own region.
+If they do and each region cached its own copy, there would be as many copies of each object as
+regions, and the caches would hold few distinct objects. Daemons send each other samples of recently
+requested objects. The share of a sample that a daemon knows depends on the request rates of both
+daemons, so samples from other regions are compared with samples from the own region.
 
-Guards against caches that never warm up: with more shared objects than a region's back ends keep,
-0.05 to 0.2 of the requests were answered in time for as long as each region kept its own copies,
-and 0.6 to 0.86 some seconds after one list served all regions (three regions, one run).
+This prevents caches that never warm up: with more shared objects than a region's back ends can
+cache, 0.05 to 0.2 of the requests were answered in time while each region kept its own copies, and
+0.6 to 0.86 a few seconds after all regions used the same lists (three regions, one run).
 """
 
 from __future__ import annotations
@@ -21,47 +21,51 @@
 
 from kitekeel_steering.clock import Clock
 
-# Objects count as asked for so long: a few times what a key usually waits for its next request.
-_MEMORY_SECONDS = 30.0
-# Objects of a service; 0.6 MB. The deployments known have 30 to 400 in a region.
-_MOST_OBJECTS = 4_096
-# A message of four services has 215 bytes (encoded), and each daemon sends one in two seconds.
+# How long an object is remembered after a request: a few times the usual interval between two
+# requests for the same key.
+_RETENTION_SECONDS = 30.0
+# Remembered objects of a service; 0.6 MB. Known deployments have 30 to 400 in a region.
+_MAX_OBJECTS = 4_096
+# An encoded message of four services takes 215 bytes; each daemon sends one every two seconds.
 _SAMPLE_SIZE = 8
-_MOST_SERVICES = 4
-# One object of three or fewer moves the share by more than the two thresholds are apart.
-_LEAST_SAMPLE = 4
-# A change goes through with about eight samples; the share of one strays by 0.15, smoothed by 0.06.
+_MAX_SAMPLED_SERVICES = 4
+# In a sample of three or fewer, a single object changes the share by more than the distance between
+# the two thresholds.
+_MIN_SAMPLE_SIZE = 4
+# A change takes effect after about eight samples. The share of a single sample deviates by 0.15,
+# the smoothed share by 0.06.
 _SMOOTHING = 0.3
-# Callers who move to another region for a while take their objects along: a share below a half.
-_SHARED_FROM = 0.6
-_APART_FROM = 0.4
+# Callers that move to another region temporarily request the same objects there; the share that
+# this causes is below one half.
+_SHARED_THRESHOLD = 0.6
+_SEPARATE_THRESHOLD = 0.4
 
 
 class ObjectSample(msgspec.Struct, frozen=True, array_like=True):
-    """Some of the objects of a service that a daemon was asked for lately, by hash."""
+    """Hashes of some objects of a service that a daemon was recently asked for."""
 
     service: str
     hashes: tuple[int, ...]
 
 
 class _ServiceOverlap:
-    """What is known of one service's objects."""
+    """The state of one service."""
 
     def __init__(self) -> None:
         self.asked_at: OrderedDict[int, float] = OrderedDict()
-        # As where regions ask for objects of their own: the first sample must not decide alone.
+        # As if regions requested distinct objects: the first sample must not decide alone.
         self.known_share_near = 1.0
         self.known_share_far = 0.0
         self.is_shared = False
 
     def forget(self, now: float) -> None:
-        while self.asked_at and next(iter(self.asked_at.values())) < now - _MEMORY_SECONDS:
+        while self.asked_at and next(iter(self.asked_at.values())) < now - _RETENTION_SECONDS:
             self.asked_at.popitem(last=False)
 
     def note_asked(self, hashed: int, now: float) -> None:
         self.asked_at[hashed] = now
         self.asked_at.move_to_end(hashed)
-        if len(self.asked_at) > _MOST_OBJECTS:
+        if len(self.asked_at) > _MAX_OBJECTS:
             self.asked_at.popitem(last=False)
 
     def note_share(self, known_share: float, is_near: bool) -> None:
@@ -71,7 +75,7 @@
             self.known_share_far = _smoothed(self.known_share_far, known_share)
 
     def known_share(self) -> float:
-        """Return the part of far objects that is known here, against that of near ones."""
+        """Return the known share of other regions' objects relative to that of the own region's."""
         near = self.known_share_near
         return self.known_share_far / near if near > 0.0 else 0.0
 
@@ -80,10 +84,10 @@
     """The observations of one daemon; used on one thread.
 
     Args:
-        clock: times the requests.
+        clock: provides the time of requests.
         generator: draws the samples.
-        on_change: called with a service, whether its objects are shared from now on, and the part
-            of other regions' objects that decided it.
+        on_change: called with a service, whether its objects are now shared, and the known share
+            of other regions' objects that led to the decision.
     """
 
     def __init__(
@@ -103,36 +107,36 @@
         self._services[service].note_asked(hashed, self._clock.monotonic())
 
     def sample(self) -> tuple[ObjectSample, ...]:
-        """Return some objects of the services that were asked for most objects."""
+        """Return samples of the services with the most recently requested objects."""
         now = self._clock.monotonic()
         for each in self._services.values():
             each.forget(now)
         most = sorted(self._services, key=lambda name: -len(self._services[name].asked_at))
-        return tuple(self._sample_of(name) for name in most[:_MOST_SERVICES])
+        return tuple(self._sample_of(name) for name in most[:_MAX_SAMPLED_SERVICES])
 
     def note_sample(self, samples: tuple[ObjectSample, ...], is_near: bool) -> None:
-        """Count another daemon's sample.
+        """Evaluate another daemon's samples.
 
         Args:
-            samples: what it was asked for lately.
-            is_near: whether it is in the own region.
+            samples: objects that it was recently asked for.
+            is_near: whether that daemon is in the own region.
         """
         for sample in samples:
             overlap = self._services.get(sample.service)
-            if overlap is None or len(sample.hashes) < _LEAST_SAMPLE:
+            if overlap is None or len(sample.hashes) < _MIN_SAMPLE_SIZE:
                 continue
             known = sum(each in overlap.asked_at for each in sample.hashes) / len(sample.hashes)
             overlap.note_share(known, is_near)
             self._decide(sample.service, overlap)
 
     def is_shared(self, service: str) -> bool:
-        """Tell whether other regions ask for most of the objects that the own one asks for."""
+        """Return whether other regions request most of the objects that the own one requests."""
         overlap = self._services.get(service)
         return overlap is not None and overlap.is_shared
 
     def _decide(self, service: str, overlap: _ServiceOverlap) -> None:
         known_share = overlap.known_share()
-        is_shared = known_share >= (_APART_FROM if overlap.is_shared else _SHARED_FROM)
+        is_shared = known_share >= (_SEPARATE_THRESHOLD if overlap.is_shared else _SHARED_THRESHOLD)
         if is_shared is overlap.is_shared:
             return
         overlap.is_shared = is_shared
--- a/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
@@ -1,15 +1,16 @@
-"""Limits on requests over all daemons together, kept as a fixed amount of tokens.
+"""Fleet-wide rate limits, implemented as a distributed token bucket.
 
 A limit applies to the requests of a tenant, or to the requests sent to a back end.
 
-Each admitted request takes one token. Tokens come into being in one way only: every daemon earns
-its equal part of a tenant's rate for each second that passes. A daemon lends those seconds to a
-keeper of its region, which turns them into tokens and hands them to the daemons that ask. Lent
-seconds and tokens are spent once, whoever is the keeper, however many daemons believe to be it, and
-also where messages are lost. So the limit holds with any daemons cut off, frozen, killed or added.
+Each admitted request takes one token. Tokens are created in one way only: every daemon earns its
+equal part of a tenant's rate for each second that passes. A daemon lends those seconds to a keeper
+of its region, which converts them to tokens and distributes these to the daemons that request them.
+Lent seconds and tokens are spent only once, regardless of which daemon is the keeper, of how many
+daemons consider themselves to be the keeper, and of lost messages. The limit therefore holds while
+any daemons are partitioned, suspended, killed or added.
 
-What may lie unused bounds how many requests can come at once. It is divided among the places where
-tokens lie: the keepers' pools, the stocks of the daemons, and seconds that are not lent yet.
+The number of unused tokens bounds how many requests can be admitted at once. This bound is divided
+among the keepers' pools, the stocks of the daemons, and seconds that have not been lent yet.
 """
 
 from __future__ import annotations
@@ -23,37 +24,37 @@
 
 from kitekeel_steering.tenants import Tenant
 
-# Daemons lend their seconds at least this often.
+# Maximum interval between two loans of a daemon.
 LENDING_SECONDS = 0.5
-# Parts of the margin above rate and burst. What is left covers requests that hold a token while
-# they are on their way, and the different views that daemons have of how many there are.
+# Shares of the margin above rate and burst. The remainder covers requests that hold a token while
+# in transit, and daemons that disagree about the number of daemons.
 _STOCKED_MARGIN = 0.2
 _POOLED_MARGIN = 0.6
-_LEAST_POOLED_MARGIN = 0.1
-# Smaller parts than for tenants: a request may hold its token for up to a second while it waits for
-# a connection to the back end.
+_MIN_POOLED_MARGIN = 0.1
+# Smaller shares than for tenants: a request may hold its token for up to a second while it waits
+# for a connection to the back end.
 _STOCKED_BACK_END_MARGIN = 0.1
 _POOLED_BACK_END_MARGIN = 0.4
-# A daemon that was silent for longer lends no more than this: seconds that all daemons kept while
-# they were paused together would else come on top of those of the next window.
-_LONGEST_LOAN_SECONDS = LENDING_SECONDS
-# A lender that was not heard of for this long counts no longer toward a pool's share.
-_LENDER_MEMORY_SECONDS = 5.0
-_MOVED_LIFE_SECONDS = 2.0
+# Cap on a single loan, also after a longer pause. Without it, seconds that all daemons accumulated
+# while paused together would be added to those of the next window.
+_MAX_LOAN_SECONDS = LENDING_SECONDS
+# A lender is no longer counted toward a pool's share after this time without a loan.
+_LENDER_EXPIRY_SECONDS = 5.0
+_MOVED_TOKEN_LIFETIME_SECONDS = 2.0
 # Tokens outside their home region count against the margin, so they expire sooner.
-_MOVED_FROM_HOME_LIFE_SECONDS = 0.5
-# A pool for this part of all daemons or more, as of one of 16 regions, may hold a whole token
-# whatever the tenant's shares: its callers would else never be admitted there.
-_LEAST_WHOLE_SHARE = 1.0 / 16.0
+_MOVED_FROM_HOME_LIFETIME_SECONDS = 0.5
+# A pool that serves at least this share of all daemons, such as one of 16 regions, may always hold
+# a whole token. Otherwise a tenant with a low limit would never be admitted there.
+_MIN_SHARE_FOR_WHOLE_TOKEN = 1.0 / 16.0
 
 
 class QuotaMargin(msgspec.Struct, frozen=True):
-    """How far requests within a window may exceed a tenant's rate and burst.
+    """How far the requests in a window may exceed a tenant's rate and burst.
 
     Attributes:
-        window_seconds: length of the window, which slides.
-        ratio: part of what rate and burst allow in a window.
-        slack: requests beyond that.
+        window_seconds: length of the sliding window.
+        ratio: excess as a share of what rate and burst allow in a window.
+        slack: additional requests beyond that.
     """
 
     window_seconds: float = 5.0
@@ -67,12 +68,12 @@
 
 
 class QuotaShares(msgspec.Struct, frozen=True):
-    """How many tokens of one limit may lie unused, all daemons together.
+    """How many tokens of one limit may be unused, over all daemons.
 
     Attributes:
         rate: tokens per second.
-        pooled: in the keepers' pools.
-        stocked: in the daemons' stocks.
+        pooled: maximum number of tokens in the keepers' pools.
+        stocked: maximum number of tokens in the daemons' stocks.
         home: the region whose keeper pools the tokens of all regions; empty if each region pools
             its own.
     """
@@ -84,12 +85,12 @@
 
 
 def quota_shares(tenant: Tenant, margin: QuotaMargin) -> QuotaShares | None:
-    """Return the shares of a tenant, ``None`` where it has no limit."""
+    """Return the shares of a tenant, or ``None`` if it has no limit."""
     if tenant.rate <= 0:
         return None
     extra = margin.ratio * (tenant.rate * margin.window_seconds + tenant.burst) + margin.slack
-    unlent = tenant.rate * _LONGEST_LOAN_SECONDS
-    pooled = max(_LEAST_POOLED_MARGIN * extra, tenant.burst + _POOLED_MARGIN * extra - unlent)
+    unlent = tenant.rate * _MAX_LOAN_SECONDS
+    pooled = max(_MIN_POOLED_MARGIN * extra, tenant.burst + _POOLED_MARGIN * extra - unlent)
     return QuotaShares(tenant.rate, pooled, _STOCKED_MARGIN * extra)
 
 
@@ -98,25 +99,25 @@
 
     Args:
         rate: requests per second.
-        margin: how far requests within a window may exceed it.
+        margin: how far the requests in a window may exceed it.
         home: the back end's region.
     """
     extra = margin.ratio * rate * margin.window_seconds + margin.slack
-    unlent = rate * _LONGEST_LOAN_SECONDS
-    pooled = max(_LEAST_POOLED_MARGIN * extra, _POOLED_BACK_END_MARGIN * extra - unlent)
+    unlent = rate * _MAX_LOAN_SECONDS
+    pooled = max(_MIN_POOLED_MARGIN * extra, _POOLED_BACK_END_MARGIN * extra - unlent)
     return QuotaShares(rate, pooled, _STOCKED_BACK_END_MARGIN * extra, home)
 
 
-def _most_of_one_daemon(shares: QuotaShares, daemons: int) -> float:
-    """Return the most tokens that a daemon may keep which shares them with no other one.
+def _max_tokens_of_lone_daemon(shares: QuotaShares, daemons: int) -> float:
+    """Return the maximum number of tokens of a daemon that shares its tokens with no other.
 
-    It has no unlent seconds besides, so that their part of the margin is free for tokens.
+    Such a daemon has no unlent seconds, so their part of the margin is available for tokens.
     """
-    return max(shares.pooled, shares.rate * _LONGEST_LOAN_SECONDS) / max(1, daemons)
+    return max(shares.pooled, shares.rate * _MAX_LOAN_SECONDS) / max(1, daemons)
 
 
 class Claim(enum.Enum):
-    """What became of a request's claim for a token, and who decided it."""
+    """The outcome of a request's claim for a token, and what decided it."""
 
     FROM_STOCK = "from-stock"
     FROM_KEEPER = "from-keeper"
@@ -127,7 +128,7 @@
 
     @property
     def is_admitted(self) -> bool:
-        """Tell whether there was a token."""
+        """Return whether the claim obtained a token."""
         return self in _ADMITTED
 
 
@@ -135,7 +136,7 @@
 
 
 class LentTime:
-    """The seconds of one daemon that it has not lent yet.
+    """The seconds that one daemon has not lent yet.
 
     Args:
         now: monotonic time in seconds.
@@ -145,13 +146,13 @@
         self._since = now
 
     def take(self, now: float) -> float:
-        """Return the seconds since the last call; they are spent from now on."""
-        seconds = min(max(0.0, now - self._since), _LONGEST_LOAN_SECONDS)
+        """Return the seconds since the last call and mark them as spent."""
+        seconds = min(max(0.0, now - self._since), _MAX_LOAN_SECONDS)
         self._since = now
         return seconds
 
     def give_back(self, seconds: float) -> None:
-        """Take back seconds that were certainly not heard of."""
+        """Restore seconds of a loan that certainly reached no keeper."""
         self._since -= seconds
 
     def age(self, now: float) -> float:
@@ -160,13 +161,13 @@
 
 
 class _Level(msgspec.Struct):
-    """A tenant's tokens.
+    """A tenant's tokens in one pool.
 
     Attributes:
-        tokens: earned here.
+        tokens: tokens earned in this pool.
         earned_at: the sum of lent seconds up to which they were earned.
-        moved: tokens that came from other pools.
-        moved_at: monotonic time in seconds at which the last of those came.
+        moved: tokens received from other pools.
+        moved_at: monotonic time in seconds at which tokens were last received.
     """
 
     tokens: float
@@ -188,18 +189,18 @@
 
 
 def without_rounding(_tenant: str) -> float:
-    """Return the rounding of pools that need none: parts of a token count as nothing."""
+    """Return 0, for pools that ignore fractions of a token."""
     return 0.0
 
 
 class QuotaPool:
     """The tokens of one keeper.
 
-    Lent seconds are summed up as parts of a rate: a sum of 1 stands for one second of a tenant's
-    whole rate. Each tenant's tokens follow from the sum when they are asked for.
+    Lent seconds are summed up as shares of a rate: a sum of 1 represents one second of a tenant's
+    whole rate. A tenant's tokens are computed from the sum when they are requested.
 
     Args:
-        rounding_of: as the rounding of :class:`QuotaStock`, by tenant.
+        rounding_of: returns a tenant's rounding, as for :class:`QuotaStock`.
     """
 
     def __init__(self, rounding_of: Callable[[str], float] = without_rounding) -> None:
@@ -210,27 +211,27 @@
         self._forwarders: dict[str, _Forwarder] = {}
 
     def lend(self, lender: str, seconds: float, daemons: int, now: float) -> None:
-        """Take the seconds that a daemon lends.
+        """Add the seconds that a daemon lends.
 
         Args:
-            lender: the daemon's address; a daemon that starts anew at it is the same lender.
-            seconds: as the lender states them; none lie before its last loan.
+            lender: the daemon's address; a daemon restarted at the same address is the same lender.
+            seconds: the lent seconds, which all lie after the lender's previous loan.
             daemons: how many daemons share the limits.
             now: monotonic time in seconds.
         """
         last = self._lenders.get(lender)
-        possible = _LONGEST_LOAN_SECONDS if last is None else max(0.0, now - last)
-        # Messages may take different times, so that two loans come closer than they were made.
-        allowed = min(seconds, possible + LENDING_SECONDS, _LONGEST_LOAN_SECONDS)
+        possible = _MAX_LOAN_SECONDS if last is None else max(0.0, now - last)
+        # Message delays vary, so two loans may arrive closer together than they were made.
+        allowed = min(seconds, possible + LENDING_SECONDS, _MAX_LOAN_SECONDS)
         self._lent += max(0.0, allowed) / max(1, daemons)
         self._lenders[lender] = now
         if len(self._lenders) > daemons:
-            self._forget_lenders(now)
+            self._remove_expired_lenders(now)
 
     def take(
         self, tenant: str, shares: QuotaShares, wanted: float, now: float, daemons: int
     ) -> int:
-        """Return how many of the wanted tokens there are; they are the asker's from now on."""
+        """Remove up to the wanted number of tokens for the caller; return how many."""
         level = self._level(tenant, shares, now, daemons)
         granted = math.floor(min(wanted, level.moved + level.tokens))
         if granted <= 0:
@@ -243,7 +244,7 @@
     def take_part(
         self, tenant: str, shares: QuotaShares, wanted: float, now: float, daemons: int
     ) -> int:
-        """Return tokens for another keeper: at most half of what was earned here."""
+        """Remove tokens for another keeper, at most half of those earned here; return how many."""
         level = self._level(tenant, shares, now, daemons)
         granted = math.floor(min(wanted, level.tokens / 2))
         level.tokens -= max(0, granted)
@@ -252,18 +253,18 @@
     def add(
         self, tenant: str, shares: QuotaShares, tokens: float, now: float, daemons: int
     ) -> None:
-        """Add tokens that a daemon gives back."""
+        """Add tokens that a daemon returns."""
         level = self._level(tenant, shares, now, daemons)
-        most = self._most(tenant, shares, now, daemons)
+        most = self._max_tokens(tenant, shares, now, daemons)
         level.tokens = min(level.tokens + tokens, most)
 
     def move_in(
         self, tenant: str, shares: QuotaShares, tokens: float, now: float, daemons: int
     ) -> None:
-        """Add tokens that another keeper gave.
+        """Add tokens that another keeper transferred.
 
-        They are no more than they were there, so that they are kept also where few daemons lend;
-        what is not used soon is lost.
+        A transfer does not increase the total number of tokens, so they are accepted even if few
+        daemons lend to this pool. They expire soon if unused.
         """
         level = self._level(tenant, shares, now, daemons)
         level.moved = min(level.moved + tokens, shares.pooled)
@@ -277,7 +278,7 @@
 
     def lender_count(self, now: float) -> int:
         """Return how many daemons currently lend to this pool."""
-        return sum(now - last < _LENDER_MEMORY_SECONDS for last in self._lenders.values())
+        return sum(now - last < _LENDER_EXPIRY_SECONDS for last in self._lenders.values())
 
     def note_forwarder(self, sender: str, lenders: int, now: float) -> None:
         """Record that a keeper of another region forwards the tokens of its lenders."""
@@ -288,54 +289,54 @@
         self._levels.pop(tenant, None)
 
     def level(self, tenant: str, shares: QuotaShares, now: float, daemons: int) -> float:
-        """Return how many tokens there are."""
+        """Return the number of tokens."""
         level = self._level(tenant, shares, now, daemons)
         return level.tokens + level.moved
 
     def _level(self, tenant: str, shares: QuotaShares, now: float, daemons: int) -> _Level:
         level = self._levels.get(tenant)
         if level is None:
-            # What was lent before the tenant was first asked for is its own as well.
+            # The tenant also earns tokens for seconds lent before it was first requested.
             level = self._levels[tenant] = _Level(0.0, 0.0)
         level.tokens += (self._lent - level.earned_at) * shares.rate
-        level.tokens = min(level.tokens, self._most(tenant, shares, now, daemons))
+        level.tokens = min(level.tokens, self._max_tokens(tenant, shares, now, daemons))
         level.earned_at = self._lent
-        life = _MOVED_FROM_HOME_LIFE_SECONDS if shares.home else _MOVED_LIFE_SECONDS
+        life = _MOVED_FROM_HOME_LIFETIME_SECONDS if shares.home else _MOVED_TOKEN_LIFETIME_SECONDS
         if now - level.moved_at > life:
             level.moved = 0.0
         return level
 
-    def _most(self, tenant: str, shares: QuotaShares, now: float, daemons: int) -> float:
-        """Return the most tokens that may lie here: the part of those daemons that lend here."""
+    def _max_tokens(self, tenant: str, shares: QuotaShares, now: float, daemons: int) -> float:
+        """Return this pool's maximum number of tokens, by the share of daemons that lend to it."""
         lenders = self.lender_count(now)
         if shares.home:
             lenders += sum(
                 each.lenders
                 for each in self._forwarders.values()
-                if now - each.heard_at < _LENDER_MEMORY_SECONDS
+                if now - each.heard_at < _LENDER_EXPIRY_SECONDS
             )
         share = min(1.0, lenders / max(1, daemons))
-        least = 1.0 if share >= _LEAST_WHOLE_SHARE else 0.0
+        least = 1.0 if share >= _MIN_SHARE_FOR_WHOLE_TOKEN else 0.0
         if lenders <= 1:
-            # Guards against refusing all requests at a daemon that reaches no other one.
-            most_alone = _most_of_one_daemon(shares, daemons)
+            # Prevents a daemon that reaches no other one from refusing all requests.
+            most_alone = _max_tokens_of_lone_daemon(shares, daemons)
             least = max(least, most_alone, math.floor(most_alone + self._rounding_of(tenant)))
         return max(least, shares.pooled * share)
 
-    def _forget_lenders(self, now: float) -> None:
+    def _remove_expired_lenders(self, now: float) -> None:
         self._lenders = {
             lender: last
             for lender, last in self._lenders.items()
-            if now - last < _LENDER_MEMORY_SECONDS
+            if now - last < _LENDER_EXPIRY_SECONDS
         }
 
 
 class QuotaStock:
-    """The tokens of one tenant that one daemon has at hand.
+    """One daemon's local tokens of one tenant.
 
     Args:
-        rounding: 0 to 1, evenly spread over daemons: how large a part of a token counts as one, so
-            that the stocks of all daemons together are as large as they may be.
+        rounding: 0 to 1, uniformly distributed over daemons; added to this stock's maximum before
+            it is rounded down, so that the maxima of all daemons add up to the permitted total.
     """
 
     def __init__(self, rounding: float) -> None:
@@ -343,11 +344,11 @@
         self.tokens = 0
 
     def most(self, shares: QuotaShares, daemons: int) -> int:
-        """Return the most tokens that may lie here."""
+        """Return the maximum number of tokens in this stock."""
         return math.floor(shares.stocked / max(1, daemons) + self._rounding)
 
     def take(self, shares: QuotaShares, daemons: int) -> bool:
-        """Take a token; tell whether there was one."""
+        """Take a token; return whether there was one."""
         self.tokens = min(self.tokens, self.most(shares, daemons))
         if self.tokens <= 0:
             return False
@@ -355,7 +356,7 @@
         return True
 
     def add(self, shares: QuotaShares, daemons: int, tokens: int) -> int:
-        """Add tokens as far as there is room; return those left over."""
+        """Add tokens up to the maximum; return how many did not fit."""
         room = max(0, self.most(shares, daemons) - self.tokens)
         added = min(room, tokens)
         self.tokens += added
@@ -363,11 +364,11 @@
 
 
 class OwnEarnings:
-    """The tokens of one tenant that a daemon without a keeper earns for itself.
+    """The tokens of one tenant that a daemon earns for itself while it has no keeper.
 
     Args:
         rounding: as for :class:`QuotaStock`.
-        now: monotonic time in seconds from which it earns.
+        now: monotonic time in seconds from which it earns tokens.
     """
 
     def __init__(self, rounding: float, now: float) -> None:
@@ -376,9 +377,9 @@
         self._earned_at = now
 
     def take(self, shares: QuotaShares, daemons: int, now: float) -> bool:
-        """Take a token of the daemon's equal part; tell whether there was one."""
+        """Take a token of the daemon's equal part; return whether there was one."""
         part = 1.0 / max(1, daemons)
-        most = math.floor(_most_of_one_daemon(shares, daemons) + self._rounding)
+        most = math.floor(_max_tokens_of_lone_daemon(shares, daemons) + self._rounding)
         earned = (now - self._earned_at) * shares.rate * part
         self._tokens = min(self._tokens + earned, most)
         self._earned_at = now
