--- a/packages/kitekeel-steering/src/kitekeel_steering/outliers.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/outliers.py
@@ -1,4 +1,4 @@
-"""Finds back ends whose answers are bad, whatever their reports say."""
+"""Detects back ends that fail or are slow, independently of their load reports."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from kitekeel_steering.grant_messages import ResultCount
 
 _WINDOW_SECONDS = 5.0
-_LEAST_ANSWERS = 8
-_WORST_FAILURE_SHARE = 0.5
+_MIN_ANSWERS = 8
+_MAX_FAILURE_SHARE = 0.5
 _SLOWNESS_FACTOR = 4.0
 _FIRST_EJECTION_SECONDS = 3.0
-_MOST_EJECTION_SECONDS = 30.0
+_MAX_EJECTION_SECONDS = 30.0
 
 
 class _Record(msgspec.Struct):
-    """Answers of one back end in the present window, and its ejections."""
+    """Answers of one back end in the current window, and its ejections."""
 
     window_started_at: float
     window: AnswerWindow
@@ -28,10 +28,10 @@
 
 
 class OutlierDetector:
-    """Ejects back ends that fail or are far slower than the pool's median.
+    """Ejects back ends that fail or are much slower than the pool's median.
 
     Args:
-        most_share: most of the pool that is ejected at once.
+        most_share: maximum share of the pool that may be ejected at the same time.
     """
 
     def __init__(self, clock: Clock, most_share: float = 0.3) -> None:
@@ -40,7 +40,7 @@
         self._records: dict[str, _Record] = {}
 
     def note(self, results: tuple[ResultCount, ...], pool_size: int) -> list[str]:
-        """Count answers; return the names of back ends ejected by them."""
+        """Count answers; return the names of the back ends that are ejected as a result."""
         now = self._clock.monotonic()
         for result in results:
             record = self._records.setdefault(result.back_end, _Record(now, AnswerWindow()))
@@ -51,7 +51,7 @@
         return self._eject(now, pool_size)
 
     def is_ejected(self, back_end: str) -> bool:
-        """Tell whether the back end gets no work at present."""
+        """Return whether the back end is currently ejected."""
         record = self._records.get(back_end)
         return record is not None and record.ejected_until > self._clock.monotonic()
 
@@ -68,7 +68,7 @@
         for name, record in self._records.items():
             if ejected >= most:
                 break
-            if record.ejected_until > now or not _is_bad(record.window, median):
+            if record.ejected_until > now or not _is_outlier(record.window, median):
                 continue
             self._start_ejection(record, now)
             names.append(name)
@@ -77,7 +77,7 @@
 
     def _start_ejection(self, record: _Record, now: float) -> None:
         record.ejections += 1
-        length = min(_MOST_EJECTION_SECONDS, _FIRST_EJECTION_SECONDS * 2 ** (record.ejections - 1))
+        length = min(_MAX_EJECTION_SECONDS, _FIRST_EJECTION_SECONDS * 2 ** (record.ejections - 1))
         record.ejected_until = now + length
         record.window_started_at = now
         record.window = AnswerWindow()
@@ -86,16 +86,16 @@
         means = [
             record.window.mean_seconds
             for record in self._records.values()
-            if record.window.successes >= _LEAST_ANSWERS
+            if record.window.successes >= _MIN_ANSWERS
         ]
         return statistics.median(means) if len(means) > 2 else 0.0
 
 
-def _is_bad(window: AnswerWindow, median_seconds: float) -> bool:
-    if window.answers < _LEAST_ANSWERS:
+def _is_outlier(window: AnswerWindow, median_seconds: float) -> bool:
+    if window.answers < _MIN_ANSWERS:
         return False
-    if window.failure_share > _WORST_FAILURE_SHARE:
+    if window.failure_share > _MAX_FAILURE_SHARE:
         return True
-    if not median_seconds or window.successes < _LEAST_ANSWERS:
+    if not median_seconds or window.successes < _MIN_ANSWERS:
         return False
     return window.mean_seconds > _SLOWNESS_FACTOR * median_seconds
--- a/packages/kitekeel-steering/src/kitekeel_steering/region_ranking.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/region_ranking.py
@@ -1,8 +1,8 @@
-"""Ranks the back ends for a key so that each region serves its own callers as far as it can.
+"""Ranks the back ends for a key so that each region serves its own callers as far as possible.
 
-A region keeps the part of its keys that its slots can carry; the others are spread over all
-regions. Every daemon of a region works out the same list without any exchange: it depends on the
-key, on the back ends, and on how many daemons each region has.
+A region keeps the share of its keys for which it has enough slots; the others are distributed over
+all regions. Every daemon of a region computes the same list without any communication: it depends
+on the key, the back ends and the number of daemons in each region.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class RankedBackEnds(msgspec.Struct, frozen=True):
-    """The back ends of a key, the best first.
+    """The back ends for a key, the preferred one first.
 
     Attributes:
-        local: those of the own region where the key is to be served there; else empty.
+        local: those of the own region if the key is served there; empty otherwise.
         overall: those of all regions.
     """
 
@@ -33,25 +33,25 @@
     overall: tuple[Candidate, ...]
 
     def first(self) -> Candidate | None:
-        """Return the back end that serves the key while nothing is wrong with it."""
+        """Return the back end that serves the key unless it is unavailable."""
         return next(iter(self.local or self.overall), None)
 
 
 class RegionPlan(msgspec.Struct, frozen=True):
-    """How the keys that are asked for in one region are divided among the regions.
+    """The division among regions of the keys that are requested in one region.
 
     Attributes:
-        own_region: where the keys are asked for.
-        local_share: part of the keys, 0 to 1, whose first back ends are in the own region.
+        own_region: the region in which the keys are requested.
+        local_share: share of the keys, 0 to 1, whose first back ends are in the own region.
     """
 
     own_region: str
     local_share: float
 
     def is_local(self, key: str) -> bool:
-        """Tell whether the key's first back ends are in the own region.
+        """Return whether the key's first back ends are in the own region.
 
-        The order in which keys change sides as the share moves is the same in all daemons.
+        As the share changes, keys move in the same order in all daemons.
         """
         return _uniform(key, _LOCAL_SALT) < self.local_share
 
@@ -64,9 +64,9 @@
         """Return the back ends in the order of the key's list.
 
         Args:
-            key: what the requests about one object share.
+            key: affinity key, shared by all requests for the same object.
             candidates: the back ends.
-            factors: by which part of its slots a back end counts, by instance; 1 where missing.
+            factors: weight of a back end's slots, by instance; 1 if missing.
         """
         weights = factors or {}
         ranked = sorted(
@@ -81,18 +81,18 @@
 
 
 class RegionRoom(msgspec.Struct, frozen=True):
-    """The slots of the back ends that may serve a service's keys."""
+    """Slots of the back ends that may serve a service's keys."""
 
     own_slots: int
     all_slots: int
 
     def share(self) -> float:
-        """Return the own region's part, 0 to 1."""
+        """Return the own region's share, 0 to 1."""
         return self.own_slots / self.all_slots if self.all_slots else 0.0
 
 
 def region_room(own_region: str, candidates: Iterable[Candidate]) -> RegionRoom:
-    """Return the slots of one region and of all."""
+    """Return the slots of one region and of all regions."""
     slots: dict[str, int] = defaultdict(int)
     for each in candidates:
         slots[each.region] += max(1, each.record.slots)
@@ -102,15 +102,15 @@
 def local_share(
     region: RegionRoom, demand_by_region: Mapping[str, float], own_region: str
 ) -> float:
-    """Return the part of the keys asked for in one region that it keeps, 0 to 1.
+    """Return the share of the keys requested in one region that the region keeps, 0 to 1.
 
-    A region whose part of the slots is smaller than its part of the demand keeps so many keys that
-    these and its part of the keys that all regions give away fill its slots.
+    If a region's share of the slots is smaller than its share of the demand, it keeps as many keys
+    as fill its slots together with its share of the keys that all regions give away.
 
     Args:
         region: the slots.
-        demand_by_region: in any unit; what counts is their proportion.
-        own_region: where the keys are asked for.
+        demand_by_region: demand in any unit; only the proportions matter.
+        own_region: the region in which the keys are requested.
     """
     room = region.share()
     all_demand = sum(demand_by_region.values())
@@ -127,5 +127,5 @@
 
 
 def _uniform(key: str, name: str) -> float:
-    """Return a number above 0 and below 1 that depends on both texts alone."""
+    """Return a number between 0 and 1, exclusive, that depends only on both strings."""
     return (weight(key, name) + 0.5) / _WEIGHT_RANGE
--- a/packages/kitekeel-steering/src/kitekeel_steering/shift_health.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/shift_health.py
@@ -5,7 +5,7 @@
 from kitekeel_steering.answer_window import AnswerWindow
 
 _WINDOW_SECONDS = 2.0
-_LEAST_ANSWERS = 10
+_MIN_ANSWERS = 10
 _MOST_FAILURES_SHARE = 0.1
 _SLOWNESS_FACTOR = 2.0
 
@@ -38,9 +38,9 @@
         return self._is_bad
 
     def _judge(self) -> None:
-        if self._moved.answers < _LEAST_ANSWERS:
+        if self._moved.answers < _MIN_ANSWERS:
             return
         fails = self._moved.failure_share > _MOST_FAILURES_SHARE
-        comparable = self._stayed.successes >= _LEAST_ANSWERS
+        comparable = self._stayed.successes >= _MIN_ANSWERS
         slow = self._moved.mean_seconds > _SLOWNESS_FACTOR * self._stayed.mean_seconds
         self._is_bad = fails or (comparable and slow)
--- a/packages/kitekeel-steering/src/kitekeel_steering/tenants.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/tenants.py
@@ -1,7 +1,7 @@
-"""Tenants: whose request it is, by the API key that a caller sends with it.
+"""Tenants, which are identified by the API key in a request.
 
-Keys are turned into digests where a configuration or a request is read. The keys themselves are
-never kept, logged or passed on.
+Keys are replaced by digests when a configuration or a request is read. The keys themselves are
+never stored, logged or forwarded.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 _DIGEST_BYTES = 16
 _DIGEST_PURPOSE = b"kitekeel-api-key"
 _FINGERPRINT_CHARACTERS = 8
-_LONGEST_KEY_BYTES = 1024
+_MAX_KEY_BYTES = 1024
 _NO_DIGEST = bytes(_DIGEST_BYTES)
 
 
 class Tenant(msgspec.Struct, frozen=True):
-    """A customer whose requests are admitted by its API keys.
+    """A customer that is authenticated by API keys.
 
     Attributes:
-        key_digests: digests of the keys that are valid at present.
-        priority: rank of its requests, 0 for the most urgent; ``None`` for the route's.
-        rate: requests a second that all daemons together admit; 0 for no limit.
-        burst: requests beyond the rate that may come at once.
-        home_regions: the only regions that may serve it; empty for all.
+        key_digests: digests of the currently valid keys.
+        priority: rank of its requests, 0 for the most urgent; ``None`` to use the route's.
+        rate: requests per second that all daemons together admit; 0 for no limit.
+        burst: requests beyond the rate that may arrive at once.
+        home_regions: the only regions that may serve its requests; empty for all.
     """
 
     name: str
@@ -43,13 +43,14 @@
 
 
 class Caller(msgspec.Struct, frozen=True):
-    """Whose request it is.
+    """The result of identifying the caller of a request.
 
     Attributes:
-        tenant: ``None`` for a request that needs no key and has no valid one.
+        tenant: the tenant, or ``None`` if the request has no valid key.
         is_known: whether the request may be served.
-        hides_key: whether the API key must be kept from the back end.
-        fingerprint: tells people which key was sent, without telling the key; empty for none.
+        hides_key: whether the API key must not be forwarded to the back end.
+        fingerprint: lets operators recognise the key that was sent without revealing it; empty if
+            none was sent.
     """
 
     tenant: Tenant | None = None
@@ -58,11 +59,11 @@
     fingerprint: str = ""
 
 
-_ANYBODY = Caller()
+_ANONYMOUS = Caller()
 
 
 def key_digest(key: bytes) -> bytes:
-    """Return what stands for an API key in configurations and look-ups."""
+    """Return the digest that represents an API key in configurations and look-ups."""
     return blake2b(key, digest_size=_DIGEST_BYTES, person=_DIGEST_PURPOSE).digest()
 
 
@@ -80,7 +81,7 @@
         }
 
     def priorities(self) -> frozenset[int]:
-        """Return the priorities that tenants have of their own."""
+        """Return the priorities that are set for tenants."""
         return frozenset(
             each.priority for each in self._tenants.values() if each.priority is not None
         )
@@ -94,22 +95,22 @@
         return list(self._tenants.values())
 
     def identify(self, headers: RawHeaders, needs_key: bool) -> Caller:
-        """Return whose request it is.
+        """Identify the caller of a request.
 
-        A valid key names its tenant also where none is needed.
+        A valid key identifies its tenant even if no key is required.
 
         Args:
             headers: the request's headers.
             needs_key: whether requests without a valid key are refused.
         """
         if not self._tenants:
-            return _ANYBODY
+            return _ANONYMOUS
         key = _bearer_key(headers)
         if key is None:
             return Caller(is_known=not needs_key, hides_key=True)
         digest = key_digest(key)
         known_digest, tenant = self._by_digest.get(digest, (_NO_DIGEST, None))
-        # Digests are compared as a whole, so that the time taken tells nothing about known keys.
+        # A constant-time comparison, so that its duration reveals nothing about known keys.
         is_valid = hmac.compare_digest(digest, known_digest)
         fingerprint = digest.hex()[:_FINGERPRINT_CHARACTERS]
         if not is_valid:
@@ -118,9 +119,10 @@
 
 
 def allowed_regions(route_homes: tuple[str, ...], tenant: Tenant | None) -> tuple[str, ...] | None:
-    """Return the regions that may serve a request, empty for all.
+    """Return the regions that may serve a request; empty for all.
 
-    Homes of the route and of the tenant both bind; ``None`` where they have no region in common.
+    The home regions of the route and of the tenant both apply. Returns ``None`` if they have no
+    region in common.
     """
     tenant_homes = tenant.home_regions if tenant is not None else ()
     if not route_homes or not tenant_homes:
@@ -129,7 +131,7 @@
 
 
 def _bearer_key(headers: RawHeaders) -> bytes | None:
-    """Return the API key of a request; ``None`` unless it states exactly one, well-formed."""
+    """Return the API key of a request, or ``None`` unless it has exactly one, well-formed."""
     values = [value for name, value in headers if name.lower() == AUTHORIZATION]
     if len(values) != 1:
         return None
@@ -137,4 +139,4 @@
     if len(parts) != 2 or parts[0].lower() != _SCHEME:
         return None
     key = parts[1]
-    return key if len(key) <= _LONGEST_KEY_BYTES else None
+    return key if len(key) <= _MAX_KEY_BYTES else None
