--- a/packages/kitekeel-steering/src/kitekeel_steering/answer_counts.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/answer_counts.py
@@ -6,10 +6,10 @@
 
 from kitekeel_steering.clock import Clock
 
-# Counts expire after one to two periods, or earlier where a period is full.
+# Counts expire after one to two periods, or earlier if a period is full.
 _PERIOD_SECONDS = 60.0
 # Distinct requests per period; 0.12 KB each in memory.
-_MOST_REQUESTS = 4_000
+_MAX_REQUESTS = 4_000
 
 
 class AnswerCounts:
@@ -43,7 +43,7 @@
     def _end_period_if_due(self) -> None:
         now = self._clock.monotonic()
         age = now - self._period_started_at
-        if age < _PERIOD_SECONDS and len(self._current) < _MOST_REQUESTS:
+        if age < _PERIOD_SECONDS and len(self._current) < _MAX_REQUESTS:
             return
         is_recent = age < 2 * _PERIOD_SECONDS
         self._previous = self._current if is_recent else Counter()
--- a/packages/kitekeel-steering/src/kitekeel_steering/answer_window.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/answer_window.py
@@ -1,4 +1,4 @@
-"""Counts answers, good and bad, and their mean time, over a window."""
+"""Counts successful and failed answers in a window, with the mean time of the former."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class AnswerWindow(msgspec.Struct):
-    """Answers since a window began; times in seconds, of good answers only."""
+    """Answers since the start of a window; times are in seconds, of successful answers only."""
 
     successes: int = 0
     failures: int = 0
@@ -14,21 +14,21 @@
 
     @property
     def answers(self) -> int:
-        """Return how many answers there were."""
+        """Return the number of answers."""
         return self.successes + self.failures
 
     @property
     def failure_share(self) -> float:
-        """Return the share of bad answers, 0 to 1."""
+        """Return the share of failed answers, 0 to 1."""
         return self.failures / max(1, self.answers)
 
     @property
     def mean_seconds(self) -> float:
-        """Return the mean time of good answers, 0 where there is none."""
+        """Return the mean time of successful answers, or 0 if there are none."""
         return self.total_seconds / max(1, self.successes)
 
     def add(self, successes: int, failures: int, total_seconds: float) -> None:
-        """Count some answers."""
+        """Add answers to the window."""
         self.successes += successes
         self.failures += failures
         self.total_seconds += total_seconds
--- a/packages/kitekeel-steering/src/kitekeel_steering/class_allocation.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/class_allocation.py
@@ -1,4 +1,4 @@
-"""Divides a pool's room between priority classes."""
+"""Divides a pool's slots between priority classes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 ) -> dict[str, int]:
     """Return how many slots each class gets.
 
-    Every class first gets what it needs up to its sure share, then the rest goes to the classes in
-    the order of their rank, up to the most each may take.
+    Every class first gets what it needs up to its guaranteed share. The rest goes to the classes in
+    the order of their rank, up to the maximum of each class.
 
     Args:
-        room: slots of the pool.
+        room: slots available in the pool.
         classes: the service's classes, the most urgent first.
-        needed: slots that each class needs.
+        needed: the number of slots that each class needs.
 
     Example:
         >>> urgent = PriorityClass("urgent", rank=1, sure_share=0.5, most_share=1.0)
@@ -40,12 +40,12 @@
 
 
 def sure_slots(room: int, priority_class: PriorityClass) -> int:
-    """Return the slots that the class gets whenever it needs them."""
+    """Return the number of slots that are guaranteed to the class if it needs them."""
     return min(int(room * priority_class.sure_share), most_slots(room, priority_class))
 
 
 def most_slots(room: int, priority_class: PriorityClass) -> int:
-    """Return the most slots that the class may take; one at least in a pool that has any."""
+    """Return the maximum slots of the class; at least one if the pool has any."""
     if room <= 0:
         return 0
     return max(1, int(room * priority_class.most_share))
--- a/packages/kitekeel-steering/src/kitekeel_steering/keeper_votes.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/keeper_votes.py
@@ -1,10 +1,11 @@
-"""How much of a pool a keeper may grant, from the votes of the region's entry machines.
-
-Each exchange of an entry machine of the region is its vote, good for a short time. A keeper with
-votes of more than half of the region's places may grant the whole pool, since no other keeper can
-have as many. With exactly half it may grant half, since another one can have the other half. With
-fewer it grants nothing, since another keeper may be granting everything. No store is needed, and
-two daemons that both believe they keep the pool cannot grant more than it has between them.
+"""Determines how much of a pool a keeper may grant, from the votes of the region's entry machines.
+
+Each exchange with an entry machine of the region counts as its vote for a short time. A keeper with
+votes from more than half of the region's places may grant the whole pool, since no other keeper can
+have as many. With exactly half of the votes it may grant half, since another keeper can have the
+other half. With fewer it grants nothing, since another keeper may be granting everything. No store
+is needed, and two daemons that both consider themselves the keeper cannot grant more slots in total
+than the pool has.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class KeeperVotes:
-    """The fresh votes for one keeper of one pool."""
+    """The votes for one keeper of one pool."""
 
     def __init__(self, clock: Clock, freshness_seconds: float) -> None:
         self._clock = clock
@@ -22,23 +23,24 @@
         self._after_silence: dict[int, bool] = {}
 
     def note(self, place: int, cast_after: float, after_silence: bool) -> None:
-        """Count an exchange of an entry machine; place 0 is a holder without a vote.
+        """Record an exchange with an entry machine; place 0 is a holder without a vote.
 
         Args:
             place: the machine's number in its region.
-            cast_after: this keeper's monotonic time, since which the vote was cast.
-            after_silence: it came here after its former keeper had been silent long enough.
+            cast_after: a time of this keeper's monotonic clock after which the vote was cast.
+            after_silence: whether the machine switched to this keeper only after its previous
+                keeper had not responded for long enough.
         """
         if place > 0:
             self._cast_after[place] = max(cast_after, self._cast_after.get(place, 0.0))
             self._after_silence[place] = after_silence
 
     def all_after_silence(self) -> bool:
-        """Tell whether every voter waited out its former keeper."""
+        """Return whether every voter waited for its previous keeper to time out."""
         return all(self._after_silence.values())
 
     def fresh(self, places: int) -> int:
-        """Return how many of the region's places have a fresh vote."""
+        """Return how many of the region's places have a current vote."""
         oldest = self._clock.monotonic() - self._freshness_seconds
         return sum(
             place <= places and cast_after >= oldest
--- a/packages/kitekeel-steering/src/kitekeel_steering/pool_room.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/pool_room.py
@@ -1,4 +1,4 @@
-"""How many slots of each back end of a pool may be in use at present."""
+"""Computes how many slots of each back end of a pool may currently be in use."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PoolRoom:
-    """Joins configuration, drains, reports, answers and warm-up into room for each back end."""
+    """Derives each back end's room from configuration, drains, reports, answers and warm-up."""
 
     def __init__(self, pool: PoolName, clock: Clock) -> None:
         self.pool = pool
@@ -26,7 +26,7 @@
         self._warm_up_seconds = _DEFAULT_WARM_UP_SECONDS
 
     def configure(self, configuration: Configuration, leaving: frozenset[str]) -> None:
-        """Take a configuration, and the addresses that the machine list says are leaving."""
+        """Apply a configuration and the addresses of machines that are listed as leaving."""
         service: Service | None = configuration.find_service(self.pool.service)
         if service is not None:
             self._warm_up_seconds = service.warm_up_seconds
@@ -40,12 +40,12 @@
         return list(self._back_ends.values())
 
     def slots(self, back_end: str) -> int:
-        """Return the slots configured for a back end, 0 for an unknown one."""
+        """Return the slots configured for a back end, or 0 if it is unknown."""
         found = self._back_ends.get(back_end)
         return found.slots if found else 0
 
     def note_results(self, results: tuple[ResultCount, ...]) -> list[str]:
-        """Count how answers went; return the back ends ejected for it."""
+        """Count successes and failures; return the back ends ejected as a result."""
         return self.outliers.note(results, len(self._back_ends))
 
     def room(self, back_end: str, in_flight: int) -> int:
@@ -56,12 +56,12 @@
         if self.outliers.is_ejected(back_end):
             return 0
         room = self.reports.room(back_end, min(found.slots, found.connections), in_flight)
-        return min(room, self._warm_room(back_end, found.slots))
+        return min(room, self._warm_up_limit(back_end, found.slots))
 
-    def _warm_room(self, back_end: str, slots: int) -> int:
-        """Return the slots that a back end may have while its caches are cold.
+    def _warm_up_limit(self, back_end: str, slots: int) -> int:
+        """Return the slots that a back end may use while its caches are cold.
 
-        One that was already up when this keeper began to look counts as warm.
+        A back end that was already up when this keeper started counts as warm.
         """
         up_since = self.reports.up_since(back_end)
         returned_at = self.outliers.returned_at(back_end)
--- a/packages/kitekeel-steering/src/kitekeel_steering/recent_times.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/recent_times.py
@@ -1,29 +1,30 @@
-"""How long the latest answers took, so that a wait can leave enough time for one more."""
+"""Tracks recent answer times, so that a wait can leave enough time for an answer."""
 
 from __future__ import annotations
 
 from collections import deque
 
-# Window size: the quantile adapts to a change within this many answers.
-_REMEMBERED = 50
-# With a long queue every request is sent with only this quantile of the answer times left. Slower
-# answers miss the deadline, and each has taken a slot from a request that had more time left.
+# The quantile adapts to a change within this many answers.
+_WINDOW_SIZE = 50
+# With a long queue, every request is sent when its remaining time is down to this quantile of the
+# answer times. Slower answers miss the deadline, and each of them has used a slot that a request
+# with more remaining time could have used.
 _SLOW_QUANTILE = 0.96
 
 
 class RecentTimes:
-    """The times of the latest answers of one kind.
+    """The times of the most recent answers of one kind.
 
-    It is right from the first answers on. An estimate that approaches the quantile step by step
-    began at the first time it met and stayed too low for some fifty answers: a daemon that had just
-    started sent 5 requests with half a second to go that ended as unknown.
+    The quantile is accurate from the first answers on. An incremental estimate started at the first
+    observed time and stayed too low for about fifty answers: a daemon that had just started sent 5
+    requests with half a second left, whose outcomes remained unknown.
     """
 
     def __init__(self) -> None:
-        self._seconds: deque[float] = deque(maxlen=_REMEMBERED)
+        self._seconds: deque[float] = deque(maxlen=_WINDOW_SIZE)
 
     def note(self, seconds: float) -> None:
-        """Count the time of one answer."""
+        """Record the time of an answer."""
         self._seconds.append(seconds)
 
     def slow_seconds(self) -> float:
--- a/packages/kitekeel-steering/src/kitekeel_steering/rejections.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/rejections.py
@@ -1,8 +1,8 @@
-"""Tells rejections that a full back end makes from those of a service that rejects at random.
+"""Distinguishes rejections by a full back end from those of a service that rejects at random.
 
-The load in question: every back end of a service rejects a part of its requests although slots are
-free. The key's first back end has the object at hand, and others reject as often, so that sending a
-request there once more serves more callers in time than moving on to one that must load the object.
+Some services reject a share of their requests on every back end although slots are free. The key's
+first back end has cached the object, and the others reject as often, so retrying there serves more
+callers in time than moving on to a back end that must load the object.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 from kitekeel_steering.back_end_load import AnsweredLoad
 
-_MEMORY_SECONDS = 2.0
-# Of the service's answers. With fewer, the next back end most probably takes the request.
-_COMMON_SHARE = 0.25
-# Fewer answers say little.
-_LEAST_ANSWERS = 4.0
+_TIME_CONSTANT_SECONDS = 2.0
+# Share of the service's answers. Below it, the next back end will most probably accept the request.
+_COMMON_REJECTION_SHARE = 0.25
+# With fewer answers, the share is not significant.
+_MIN_ANSWERS = 4.0
 
 
 def had_free_slot(report: AnsweredLoad | None) -> bool:
-    """Tell whether a back end that rejected a request says that it could have begun it at once."""
+    """Return whether a rejecting back end's own report says that it had a free slot."""
     return report is not None and report.running < report.slots and report.waiting == 0
 
 
 class ServiceRejections:
-    """How large a part of one service's answers rejects requests without need, lately.
+    """The recent share of one service's answers that are rejections despite a free slot.
 
     Args:
         now: monotonic time in seconds.
@@ -36,19 +36,19 @@
         self._updated_at = now
 
     def note_answer(self, is_needless_rejection: bool, now: float) -> None:
-        """Count an answer of any back end of the service."""
-        self._fade(now)
+        """Count an answer from any back end of the service."""
+        self._decay(now)
         self._answers += 1.0
         self._rejections += is_needless_rejection
 
     def are_common(self, now: float) -> bool:
-        """Tell whether the next back end would probably reject a request as well."""
-        self._fade(now)
-        is_enough = self._answers >= _LEAST_ANSWERS
-        return is_enough and self._rejections >= _COMMON_SHARE * self._answers
+        """Return whether another back end would probably reject the request as well."""
+        self._decay(now)
+        has_enough_answers = self._answers >= _MIN_ANSWERS
+        return has_enough_answers and self._rejections >= _COMMON_REJECTION_SHARE * self._answers
 
-    def _fade(self, now: float) -> None:
-        factor = math.exp((self._updated_at - now) / _MEMORY_SECONDS)
+    def _decay(self, now: float) -> None:
+        factor = math.exp((self._updated_at - now) / _TIME_CONSTANT_SECONDS)
         self._answers *= factor
         self._rejections *= factor
         self._updated_at = now
--- a/packages/kitekeel-steering/src/kitekeel_steering/rendezvous.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/rendezvous.py
@@ -8,12 +8,12 @@
 
 
 def weight(key: str, node: str) -> int:
-    """Return the weight of a node for a key; equal inputs weigh the same on every machine."""
+    """Return the weight of a node for a key, which is the same on every machine."""
     return int(xxhash.xxh64_intdigest(f"{key}\x00{node}".encode()))
 
 
 def rank_nodes(key: str, nodes: Iterable[str]) -> list[str]:
-    """Return the nodes, the highest weight for the key first.
+    """Return the nodes in descending order of their weight for the key.
 
     Example:
         >>> sorted(rank_nodes("search/north", ["a", "b"]))
--- a/packages/kitekeel-steering/src/kitekeel_steering/request_identity.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/request_identity.py
@@ -1,7 +1,7 @@
-"""Knows a caller's request again when it comes once more under another id, at whatever daemon.
+"""Identifies a caller's request by its content, to recognise resends with a new id at any daemon.
 
-Two requests are the same where a back end would get the same: method, host, target, object key,
-credentials and body. Deadlines, ids and what proxies add on the way are left out.
+Two requests have the same identity if a back end would receive the same method, host, target,
+object key, credentials and body. Deadlines, ids and headers added by proxies are ignored.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     find_header,
 )
 
-# All of a body that is read before its request is taken to a back end; the rest is not known then.
+# As much of a body as is read before its request is sent to a back end; the rest is not known then.
 _IDENTIFYING_BODY_BYTES = 1024 * 1024
 _DIGEST_BYTES = 16
 _TARGET_LENGTH = 16
@@ -26,12 +26,12 @@
 
 
 def identify_target(request: ProxiedRequest) -> str:
-    """Return the first part of a request's identity, which is cheap to work out."""
+    """Return the first part of a request's identity, which is cheap to compute."""
     return _target_hash(_target_parts(request))
 
 
 def identify(request: ProxiedRequest, names: HeaderNames) -> str:
-    """Return the request's identity: its target's, and a digest of all that a back end gets."""
+    """Return the request's identity: a target hash and a digest of what a back end receives."""
     content = (
         find_cookie(request.headers, names.affinity_cookie).encode("latin-1"),
         find_header(request.headers, b"authorization") or b"",
@@ -42,7 +42,7 @@
 
 
 def identify_parts(target: Sequence[bytes], content: Sequence[bytes]) -> str:
-    """Return the identity of a request of which these parts are known."""
+    """Return the identity of a request with the given parts."""
     digest = blake2b(digest_size=_DIGEST_BYTES)
     for part in (*target, *content):
         digest.update(len(part).to_bytes(8, "big"))
@@ -51,7 +51,7 @@
 
 
 def target_of(identity: str) -> str:
-    """Return the target's part of an identity."""
+    """Return the target hash of an identity."""
     return identity[:_TARGET_LENGTH]
 
 
