--- a/packages/kitekeel-steering/src/kitekeel_steering/admission.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/admission.py
@@ -25,7 +25,7 @@
 from kitekeel_steering.grant_table import GrantTable, HolderIdentity, SlotHold
 from kitekeel_steering.grant_timing import GrantTiming
 from kitekeel_steering.model import Configuration, PriorityClass, Shift
-from kitekeel_steering.placement import Candidate, candidates
+from kitekeel_steering.placement import PoolOption, pool_options
 from kitekeel_steering.recent_times import RecentTimes
 from kitekeel_steering.shift_counter import ShiftCounter
 from kitekeel_steering.shift_health import ShiftHealth
@@ -105,7 +105,7 @@
         class_name: str,
         deadline: float,
         excluded: frozenset[str] = frozenset(),
-        again: SlotHold | None = None,
+        previous_hold: SlotHold | None = None,
         least_seconds: float = 0.0,
     ) -> SlotHold:
         """Return a slot for a request, waiting for one while it can still be answered in time.
@@ -118,8 +118,8 @@
             class_name: the request's priority class.
             deadline: monotonic time.
             excluded: back ends that must not be chosen, such as those that already failed it.
-            again: the slot of the previous attempt, if this is a retry. A retry keeps its order of
-                arrival and is not refused because of a full queue.
+            previous_hold: the slot of the previous attempt, if this is a retry. A retry keeps its
+                order of arrival and is not refused because of a full queue.
             least_seconds: minimum remaining time for which a slot is still useful.
 
         Raises:
@@ -128,7 +128,7 @@
         with self._lock:
             if self._clock.monotonic() > deadline - least_seconds:
                 raise NoRoomError("too little time is left", _MIN_RETRY_AFTER_SECONDS)
-            waiter = self._enqueue(class_name, excluded, again)
+            waiter = self._enqueue(class_name, excluded, previous_hold)
             self._serve()
             latest_start = deadline - max(least_seconds, self._times_of(class_name).slow_seconds())
             if waiter.hold is None and waiter.refusal is None:
@@ -241,18 +241,20 @@
                 self._shifts[name] = ShiftCounter(shift, self._clock)
                 self._shift_health[name] = ShiftHealth()
 
-    def _enqueue(self, class_name: str, excluded: frozenset[str], again: SlotHold | None) -> Waiter:
+    def _enqueue(
+        self, class_name: str, excluded: frozenset[str], previous_hold: SlotHold | None
+    ) -> Waiter:
         service = self._configuration.find_service(self.service)
         priority_class = service.find_class(class_name) if service else None
         if priority_class is None:
             raise UnknownServiceError(f"no service '{self.service}' with class '{class_name}'")
-        options = candidates(self._configuration, self.service, self._identity.region, class_name)
+        options = pool_options(self._configuration, self.service, self._identity.region, class_name)
         if not options:
             raise NoRoomError(f"every back end of '{self.service}' is drained", 5.0)
-        if again is None:
+        if previous_hold is None:
             self._ensure_queue_place(priority_class)
-        order = next(self._order) if again is None else again.queue_order
-        options = self._with_shift(options, again)
+        order = next(self._order) if previous_hold is None else previous_hold.queue_order
+        options = self._with_shift(options, previous_hold)
         waiter = Waiter(priority_class, order, options, excluded, self._clock.monotonic())
         self._waiters.append(waiter)
         self._waiters.sort(key=lambda each: each.position)
@@ -277,19 +279,19 @@
         return max(1, int(priority_class.queue_places * self._queue_share))
 
     def _with_shift(
-        self, options: tuple[Candidate, ...], again: SlotHold | None
-    ) -> tuple[Candidate, ...]:
+        self, options: tuple[PoolOption, ...], previous_hold: SlotHold | None
+    ) -> tuple[PoolOption, ...]:
         """Put a shift's target first if the shift moves this request."""
         source = options[0].pool.region
         for counter in self._shifts.values():
             shift = counter.shift
             if shift.source != source:
                 continue
-            moves = counter.note_eligible() if again is None else counter.may_move_again()
+            moves = counter.note_eligible() if previous_hold is None else counter.has_turn()
             if not moves:
                 continue
             key = DemandKey(options[0].key.priority_class, shift.name)
-            target = Candidate(PoolName(self.service, shift.target), key, 0.0)
+            target = PoolOption(PoolName(self.service, shift.target), key, 0.0)
             return (target, *options)
         return options
 
@@ -329,7 +331,7 @@
     def _may_move(self, shift: str) -> bool:
         """Check the counter again, as several waiting requests may have got the same turn."""
         counter = self._shifts.get(shift)
-        return counter is not None and counter.may_move_again()
+        return counter is not None and counter.has_turn()
 
     def _assign(self, waiter: Waiter, hold: SlotHold, now: float) -> None:
         waiter.hold = msgspec.structs.replace(hold, queue_order=waiter.order)
--- a/packages/kitekeel-steering/src/kitekeel_steering/class_allocation.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/class_allocation.py
@@ -27,24 +27,24 @@
         {'urgent': 3, 'bulk': 7}
     """
     allocation = {
-        each.name: min(needed.get(each.name, 0), sure_slots(room, each)) for each in classes
+        each.name: min(needed.get(each.name, 0), guaranteed_slots(room, each)) for each in classes
     }
     rest = room - sum(allocation.values())
     for each in classes:
-        ceiling = most_slots(room, each)
-        extra = min(needed.get(each.name, 0), ceiling) - allocation[each.name]
+        maximum = max_slots(room, each)
+        extra = min(needed.get(each.name, 0), maximum) - allocation[each.name]
         taken = max(0, min(extra, rest))
         allocation[each.name] += taken
         rest -= taken
     return allocation
 
 
-def sure_slots(room: int, priority_class: PriorityClass) -> int:
+def guaranteed_slots(room: int, priority_class: PriorityClass) -> int:
     """Return the number of slots that are guaranteed to the class if it needs them."""
-    return min(int(room * priority_class.sure_share), most_slots(room, priority_class))
+    return min(int(room * priority_class.sure_share), max_slots(room, priority_class))
 
 
-def most_slots(room: int, priority_class: PriorityClass) -> int:
+def max_slots(room: int, priority_class: PriorityClass) -> int:
     """Return the maximum slots of the class; at least one if the pool has any."""
     if room <= 0:
         return 0
--- a/packages/kitekeel-steering/src/kitekeel_steering/gradual_share.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/gradual_share.py
@@ -13,7 +13,7 @@
 
 # With this rate, two consecutive windows of two seconds differ by 0.08 on average. The rest of the
 # bound of 0.15 is for keys that are requested more often than others.
-MOST_CHANGE_A_SECOND = 0.04
+MAX_CHANGE_PER_SECOND = 0.04
 # Share of the keys that change region in one step: one key in a hundred every 0.25 s.
 _STEP_SIZE = 0.01
 # Maximum time without a request that is credited to the next steps. Otherwise all keys of an idle
@@ -44,7 +44,7 @@
             self._changed_at = now
             return
         self._changed_at = max(self._changed_at, now - _MAX_CREDITED_SECONDS)
-        allowed = MOST_CHANGE_A_SECOND * (now - self._changed_at)
+        allowed = MAX_CHANGE_PER_SECOND * (now - self._changed_at)
         if allowed >= abs(missing):
             self._value = target
             self._changed_at = now
@@ -52,7 +52,7 @@
         steps = math.floor(allowed / _STEP_SIZE)
         if steps > 0:
             self._value += math.copysign(steps * _STEP_SIZE, missing)
-            self._changed_at += steps * _STEP_SIZE / MOST_CHANGE_A_SECOND
+            self._changed_at += steps * _STEP_SIZE / MAX_CHANGE_PER_SECOND
 
     def lower_to(self, most: float, now: float) -> None:
         """Reduce the value immediately if it is above a maximum."""
--- a/packages/kitekeel-steering/src/kitekeel_steering/ledger.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/ledger.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from kitekeel_steering.class_allocation import allocate_classes, most_slots
+from kitekeel_steering.class_allocation import allocate_classes, max_slots
 from kitekeel_steering.clock import Clock
 from kitekeel_steering.grant_messages import (
     Allowance,
@@ -322,7 +322,7 @@
             priority_class = self._service.find_class(key.priority_class)
             if spare <= 0 or priority_class is None or key.shift:
                 continue
-            limit = self._limit(holder, key, most_slots(room, priority_class)) - quotas[key]
+            limit = self._limit(holder, key, max_slots(room, priority_class)) - quotas[key]
             added = max(0, min(demand.spare, spare, limit))
             quotas[key] += added
             spare -= added
--- a/packages/kitekeel-steering/src/kitekeel_steering/outliers.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/outliers.py
@@ -31,12 +31,12 @@
     """Ejects back ends that fail or are much slower than the pool's median.
 
     Args:
-        most_share: maximum share of the pool that may be ejected at the same time.
+        max_share: maximum share of the pool that may be ejected at the same time.
     """
 
-    def __init__(self, clock: Clock, most_share: float = 0.3) -> None:
+    def __init__(self, clock: Clock, max_share: float = 0.3) -> None:
         self._clock = clock
-        self._most_share = most_share
+        self._max_share = max_share
         self._records: dict[str, _Record] = {}
 
     def note(self, results: tuple[ResultCount, ...], pool_size: int) -> list[str]:
@@ -61,7 +61,7 @@
         return record.ejected_until if record is not None and record.ejections else None
 
     def _eject(self, now: float, pool_size: int) -> list[str]:
-        most = int(pool_size * self._most_share)
+        most = int(pool_size * self._max_share)
         ejected = sum(record.ejected_until > now for record in self._records.values())
         median = self._median_seconds()
         names: list[str] = []
--- a/packages/kitekeel-steering/src/kitekeel_steering/placement.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/placement.py
@@ -8,7 +8,7 @@
 from kitekeel_steering.model import Configuration
 
 
-class Candidate(msgspec.Struct, frozen=True):
+class PoolOption(msgspec.Struct, frozen=True):
     """A pool that may serve the request once it has waited for some time.
 
     Attributes:
@@ -31,16 +31,16 @@
     return sorted(names, key=lambda name: (configuration.one_way_seconds(region, name), name))
 
 
-def candidates(
+def pool_options(
     configuration: Configuration, service: str, region: str, priority_class: str
-) -> tuple[Candidate, ...]:
+) -> tuple[PoolOption, ...]:
     """Return the pools for a request received by a daemon in a region, nearest first."""
     regions = nearest_regions(configuration, service, region)
     if not regions:
         return ()
     nearest = configuration.one_way_seconds(region, regions[0])
     return tuple(
-        Candidate(
+        PoolOption(
             PoolName(service, name),
             DemandKey(priority_class),
             2 * (configuration.one_way_seconds(region, name) - nearest),
--- a/packages/kitekeel-steering/src/kitekeel_steering/request_phases.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/request_phases.py
@@ -1,4 +1,4 @@
-"""Measures in which phases a request spends its time, so that a late answer can be explained."""
+"""Measures how long a request spends in each phase, to explain late answers."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class Phase(enum.Enum):
-    """Where a request is; the value names it in counters and log lines."""
+    """A phase of a request; the value is its name in counters and log lines."""
 
     UNREAD = "unread"
-    """It has arrived, and no thread has read it yet."""
+    """The request has arrived, but no thread has read it yet."""
     KEY = "key"
-    """Its idempotency key is looked for, an earlier attempt is waited for, or its home answers."""
+    """Looking up the idempotency key, or waiting for an earlier attempt or the key's home."""
     SLOT = "slot"
-    """It waits for a back end's slot."""
+    """Waiting for a slot of a back end."""
     EXCHANGE = "exchange"
-    """A connection is opened, the request sent, and the answer's head waited for."""
+    """Connecting, sending the request and waiting for the head of the answer."""
     ANSWER = "answer"
-    """The answer's body is passed on."""
+    """Forwarding the body of the answer."""
 
 
 class RequestPhases:
     """The phases of one request; used by one thread at a time.
 
     Args:
-        arrived_at: monotonic time at which it arrived.
+        arrived_at: monotonic time of the request's arrival.
     """
 
     def __init__(self, arrived_at: float) -> None:
@@ -38,21 +38,21 @@
 
     @property
     def seconds(self) -> Mapping[Phase, float]:
-        """Return the time spent in each phase that has ended."""
+        """Return the time spent in each phase so far, up to the last call of :meth:`end`."""
         return self._seconds
 
     def enter(self, phase: Phase) -> None:
-        """End the present phase and begin another, or the same one again."""
+        """End the current phase and start another one, or the same one again."""
         self.end()
         self._phase = phase
 
     def end(self) -> None:
-        """End the present phase."""
+        """End the current phase."""
         now = steady_seconds()
         spent = max(0.0, now - self._entered_at)
         self._seconds[self._phase] = self._seconds.get(self._phase, 0.0) + spent
         self._entered_at = now
 
     def total_seconds(self) -> float:
-        """Return the time from the arrival to the end of the latest phase."""
+        """Return the time from the arrival to the end of the last phase."""
         return sum(self._seconds.values())
--- a/packages/kitekeel-steering/src/kitekeel_steering/retry_budget.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/retry_budget.py
@@ -1,4 +1,4 @@
-"""A budget that keeps retries to a share of the requests, so that they cannot feed an outage."""
+"""A budget that limits retries to a share of the requests, to prevent retry storms."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class RetryBudget:
-    """Earns a part of a retry with each request and spends a whole one with each retry.
+    """A token bucket: each request adds a fraction of a token, and each retry takes a whole one.
 
     Args:
-        ratio: retries allowed for each request; 0.1 keeps the load at 1.1 times the offered.
-        reserve: most unspent retries that are kept.
+        ratio: retries allowed per request; 0.1 limits the load to 1.1 times the offered load.
+        reserve: maximum number of unspent retries.
     """
 
     def __init__(self, ratio: float = 0.1, reserve: float = 10.0) -> None:
@@ -20,12 +20,12 @@
         self._lock = threading.Lock()
 
     def note_request(self) -> None:
-        """Earn the share of one request."""
+        """Add the share of one request to the budget."""
         with self._lock:
             self._balance = min(self._reserve, self._balance + self._ratio)
 
     def try_spend(self) -> bool:
-        """Take one retry from the budget; tell whether there was one."""
+        """Take one retry from the budget; return whether one was available."""
         with self._lock:
             if self._balance < 1.0:
                 return False
--- a/packages/kitekeel-steering/src/kitekeel_steering/service_times.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/service_times.py
@@ -1,36 +1,36 @@
-"""How long the back ends of one service take for an answer, as one daemon observes it."""
+"""Estimates the answer times of one service from the observations of one daemon."""
 
 from __future__ import annotations
 
-# Above the share of hits while caches warm up, and below it once they are warm: 0.95 and more.
+# Above the share of cache hits while caches warm up, and below it once they are warm (0.95 and up).
 _SLOW_QUANTILE = 0.9
-# Part of the value that a whole step changes: follows a change of the times within some twenty
-# answers, and strays by a few per cent while they do not change.
-_STEP_SHARE = 0.05
+# Relative change of the value by a full step. The estimate follows a change of the times within
+# about twenty answers, and varies by a few per cent while they are constant.
+_STEP_SIZE = 0.05
 
 
 class ServiceTimes:
-    """The slow end of a service's times, queueing left out.
+    """Estimates the 90th percentile of a service's answer times, excluding queueing.
 
-    A back end that has not seen an object lately takes several times as long, so the times have two
-    peaks. The slow end tells which of them the service is at: the time of a miss while more than
-    one answer in ten is one, the time of a hit once caches are warm.
+    A cache miss takes several times as long as a hit, so the distribution of the times has two
+    peaks. The percentile shows which of them dominates: it is the time of a miss while more than
+    one answer in ten is a miss, and the time of a hit once caches are warm.
 
-    The quantile is followed by stochastic approximation (Robbins and Monro, 1951): each time above
-    it raises it by nine steps, each below lowers it by one.
+    The quantile is estimated by stochastic approximation (Robbins and Monro, 1951): each time above
+    it raises it by nine steps, and each time below lowers it by one.
     """
 
     def __init__(self) -> None:
         self._slow_seconds: float | None = None
 
     def note(self, seconds: float) -> None:
-        """Count the time of one answer, above 0."""
+        """Record the time of an answer, which must be above 0."""
         if self._slow_seconds is None:
             self._slow_seconds = seconds
             return
         direction = _SLOW_QUANTILE if seconds > self._slow_seconds else _SLOW_QUANTILE - 1.0
-        self._slow_seconds *= 1.0 + _STEP_SHARE * direction
+        self._slow_seconds *= 1.0 + _STEP_SIZE * direction
 
     def slow_seconds(self, default: float) -> float:
-        """Return the time that nine answers in ten stay below, or a default before the first."""
+        """Return the 90th percentile of the times, or a default before the first answer."""
         return default if self._slow_seconds is None else self._slow_seconds
--- a/packages/kitekeel-steering/src/kitekeel_steering/shift_counter.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/shift_counter.py
@@ -1,9 +1,9 @@
-"""Counts, exactly and in each daemon alone, which requests a shift moves.
+"""Determines which requests a shift moves, by exact counts local to each daemon.
 
-After every request, moved <= floor(sum of the shares in force when each eligible request came). So
-the sum over all daemons keeps under the shift's share whatever happens between them, and a daemon
-that restarts starts from zero, ramp included. A turn that the target could not take is lost, not
-saved up for a burst.
+After every request, moved <= floor(sum of the shares at the arrival of each eligible request). The
+sum over all daemons therefore never exceeds the shift's share, without any communication. A daemon
+that restarts begins from zero, including the ramp. A turn that the target could not serve is lost
+instead of being saved up for a burst.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class ShiftCounter:
-    """The count of one shift in one daemon.
+    """The counts of one shift in one daemon.
 
     Args:
-        clock: times the ramp from the moment the shift is first seen.
+        clock: measures the ramp, which starts when the shift is first seen.
     """
 
     def __init__(self, shift: Shift, clock: Clock) -> None:
@@ -30,7 +30,7 @@
         self.moved = 0
 
     def update(self, shift: Shift) -> None:
-        """Take a changed share, or a cancellation, on the ramp from the share now in force."""
+        """Apply a changed shift or a cancellation, ramping from the current share."""
         if shift == self.shift:
             return
         self._ramp_from = self.share()
@@ -38,7 +38,7 @@
         self.shift = shift
 
     def hold(self, held: bool) -> None:
-        """Stop the ramp where it is, or let it go on, as the target's answers tell."""
+        """Pause the ramp at the current share, or resume it, depending on the target's health."""
         if held == self._held:
             return
         self._ramp_from = self.share()
@@ -46,7 +46,7 @@
         self._held = held
 
     def share(self) -> float:
-        """Return the share in force now."""
+        """Return the current share."""
         goal = 0.0 if self.shift.cancelled else self.shift.share
         if self._held and goal > self._ramp_from:
             return self._ramp_from
@@ -59,16 +59,16 @@
         return max(goal, self._ramp_from - step)
 
     def note_eligible(self) -> bool:
-        """Count a request that the shift may move; tell whether it is this one's turn."""
+        """Count a request that the shift may move; return whether it should be moved."""
         self.eligible += 1
         self._credit = min(self._credit + self.share(), 1.0 + self.share())
         return self._credit >= 1.0
 
     def note_moved(self) -> None:
-        """Count a request that was sent to the target, be it the first time or again."""
+        """Count a request that was sent to the target, including retries."""
         self.moved += 1
         self._credit -= 1.0
 
-    def may_move_again(self) -> bool:
-        """Tell whether a retry may go to the target as well."""
+    def has_turn(self) -> bool:
+        """Return whether one more request, such as a retry, may be moved to the target."""
         return self._credit >= 1.0
--- a/packages/kitekeel-steering/src/kitekeel_steering/spillover.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/spillover.py
@@ -1,15 +1,16 @@
-"""Bounds what leaves a region because its own back ends are busy.
-
-Guards against a region whose callers ask for much more than usual for a few seconds: within half a
-second the first back ends of most keys are busy, and every key with a second one elsewhere would
-leave at once, to return as quickly afterwards. 0.28 of the region's requests changed their region
-from one window of two seconds to the next, 0.12 with the bound (four times the usual requests,
-tests/test_region_bursts.py), where callers expect 0.15 at most while nothing fails. What may not
-leave waits in the own region as far as that answers in time, or is refused at once.
-
-Each daemon counts its own placements, so that no exchange is needed: where every daemon of a region
-keeps the bound in each window, the region keeps it, and a part that never exceeds the bound cannot
-fall by more than it either. Daemons with fewer than ten requests in a window may exceed it, by one.
+"""Limits the requests that leave a region because its own back ends are busy.
+
+During a demand burst of a few seconds, the first back ends of most keys are busy within half a
+second. Without a limit, every key whose second back end is in another region would move there at
+once and return as quickly afterwards. With four times the usual requests, 0.28 of the region's
+requests changed region from one window of two seconds to the next, and 0.12 with the limit
+(tests/test_region_bursts.py); callers expect at most 0.15 while nothing fails. Requests that may
+not leave wait in the own region if they can still be answered in time, or are refused immediately.
+
+Each daemon counts only its own placements, so no communication is needed: if every daemon of a
+region keeps the limit in each window, so does the region, and a share that never exceeds the limit
+cannot fall by more than the limit either. A daemon with fewer than ten requests in a window may
+exceed it by one request.
 """
 
 from __future__ import annotations
@@ -18,13 +19,13 @@
 
 import msgspec
 
-# The window in which callers compare, in seconds.
+# The window over which callers compare moves, in seconds.
 WINDOW_SECONDS = 2.0
-# Part of a daemon's placements in a window; of the 0.15 that callers expect, the rest is for shares
-# of keys that move at the same time (gradual_share) and for the draw of objects.
-MOST_SHARE = 0.10
-# A daemon with few requests would else send none elsewhere.
-_ALWAYS_ALLOWED = 1
+# Maximum share of a daemon's placements in a window. The rest of the 0.15 that callers expect is
+# for shares of keys that move at the same time (gradual_share) and for random choices of objects.
+MAX_SPILLED_SHARE = 0.10
+# Otherwise a daemon with few requests could send none to other regions.
+_MIN_ALLOWED = 1
 
 
 class _Placed(msgspec.Struct, frozen=True):
@@ -40,14 +41,14 @@
         self._spilled = 0
 
     def has_room(self, now: float) -> bool:
-        """Tell whether one more request may leave the region.
+        """Return whether one more request may leave the region.
 
         Args:
             now: monotonic time in seconds.
         """
         self._forget_before(now - WINDOW_SECONDS)
-        most = MOST_SHARE * (len(self._placed) + 1)
-        return self._spilled + 1 <= max(_ALWAYS_ALLOWED, most)
+        most = MAX_SPILLED_SHARE * (len(self._placed) + 1)
+        return self._spilled + 1 <= max(_MIN_ALLOWED, most)
 
     def note_placed(self, is_spilled: bool, now: float) -> None:
         """Count a placement, and whether it left the region because its own was busy."""
--- a/packages/kitekeel-steering/src/kitekeel_steering/tenant_reports.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/tenant_reports.py
@@ -1,4 +1,4 @@
-"""What a gateway tells operators of its tenants' use of their limits."""
+"""Reports to operators on how tenants use their limits."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class TenantReport(msgspec.Struct, frozen=True):
-    """One tenant's requests at one daemon, a second over about the last ten.
+    """One tenant's requests at one daemon, per second over about the last ten seconds.
 
     Attributes:
-        rate: the limit of all daemons together; 0 for none.
-        burst: requests beyond the rate that may come at once.
-        keys: how many API keys it has.
+        rate: the limit over all daemons; 0 for none.
+        burst: requests beyond the rate that may arrive at once.
+        keys: number of its API keys.
         admitted: requests within the limit.
-        refused: requests beyond it.
+        refused: requests beyond the limit.
     """
 
     name: str
@@ -27,13 +27,13 @@
 
 
 class TenantsReply(msgspec.Struct, frozen=True):
-    """A daemon's answer.
+    """A daemon's response.
 
     Attributes:
-        daemon: its name.
-        configuration_version: the version that the limits are of.
-        without_keeper: whether it admits its equal part, as no keeper of tokens answers.
-        others: metrics addresses of the other daemons that it knows.
+        daemon: name of the daemon.
+        configuration_version: the configuration version of the limits.
+        without_keeper: whether it admits only its equal part because no quota keeper responds.
+        others: metrics addresses of the other known daemons.
     """
 
     daemon: str
--- a/packages/kitekeel-steering/src/kitekeel_steering/waiter.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/waiter.py
@@ -7,7 +7,7 @@
 from kitekeel_steering.errors import NotRunError
 from kitekeel_steering.grant_table import SlotHold
 from kitekeel_steering.model import PriorityClass
-from kitekeel_steering.placement import Candidate
+from kitekeel_steering.placement import PoolOption
 
 _RATE_WINDOW_SECONDS = 2.0
 
@@ -29,7 +29,7 @@
         self,
         priority_class: PriorityClass,
         order: int,
-        options: tuple[Candidate, ...],
+        options: tuple[PoolOption, ...],
         excluded: frozenset[str],
         arrived_at: float,
     ) -> None:
--- a/tests/test_class_allocation.py
+++ b/tests/test_class_allocation.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kitekeel_steering.class_allocation import allocate_classes, most_slots, sure_slots
+from kitekeel_steering.class_allocation import allocate_classes, guaranteed_slots, max_slots
 from kitekeel_steering.model import PriorityClass
 
 
@@ -25,8 +25,8 @@
     found = allocate_classes(room, classes, needed)
     assert sum(found.values()) <= room
     for each in classes:
-        assert found[each.name] <= max(most_slots(room, each), 0)
-        assert found[each.name] >= min(needed[each.name], sure_slots(room, each))
+        assert found[each.name] <= max(max_slots(room, each), 0)
+        assert found[each.name] >= min(needed[each.name], guaranteed_slots(room, each))
 
 
 @given(service_classes(), st.integers(1, 200))
@@ -36,4 +36,4 @@
     needed = {each.name: 1000 for each in classes}
     found = allocate_classes(room, classes, needed)
     if sum(found.values()) < room:
-        assert all(found[each.name] >= most_slots(room, each) for each in classes)
+        assert all(found[each.name] >= max_slots(room, each) for each in classes)
--- a/tests/test_key_division.py
+++ b/tests/test_key_division.py
@@ -6,7 +6,7 @@
 
 from kitekeel_steering.back_end_load import BackEndLoad
 from kitekeel_steering.fleet_items import BackEndRecord
-from kitekeel_steering.gradual_share import MOST_CHANGE_A_SECOND, GradualShare
+from kitekeel_steering.gradual_share import MAX_CHANGE_PER_SECOND, GradualShare
 from kitekeel_steering.key_division import KeyDivision, LocalShareTarget, RegionObservations
 from kitekeel_steering.placement_policy import Candidate, Candidates
 from kitekeel_steering.slow_start import RAMP_SECONDS, SlowStart
@@ -41,7 +41,7 @@
         share.follow(targets[number % len(targets)], now)
         for before, value in history:
             # The time before the first of them may have been saved up, for one second at most.
-            allowed = MOST_CHANGE_A_SECOND * (now - before + 1.0)
+            allowed = MAX_CHANGE_PER_SECOND * (now - before + 1.0)
             assert abs(share.value() - value) <= allowed + 1e-9
         history.append((now, share.value()))
 
@@ -64,7 +64,7 @@
     back = Candidates(members(4, 4))
     division.follow(back, 20.0)
     division.follow(back, 21.0)
-    assert division.plan.local_share <= lowered + 2 * MOST_CHANGE_A_SECOND
+    assert division.plan.local_share <= lowered + 2 * MAX_CHANGE_PER_SECOND
     for second in range(22, 60):
         division.follow(back, float(second))
     assert division.plan.local_share == 1.0
--- a/tests/test_spillover.py
+++ b/tests/test_spillover.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from kitekeel_steering.spill_pressure import SpillPressure
-from kitekeel_steering.spillover import MOST_SHARE, WINDOW_SECONDS, Spillover
+from kitekeel_steering.spillover import MAX_SPILLED_SHARE, WINDOW_SECONDS, Spillover
 
 
 @given(
@@ -24,7 +24,7 @@
         placed.append((now, is_spilled))
         window = [spilled for at, spilled in placed if at >= now - WINDOW_SECONDS]
         if is_spilled:
-            assert sum(window) <= max(1, MOST_SHARE * len(window))
+            assert sum(window) <= max(1, MAX_SPILLED_SHARE * len(window))
 
 
 def test_the_bound_is_used_up_to_the_end() -> None:
@@ -35,7 +35,7 @@
         has_room = spillover.has_room(now)
         spillover.note_placed(has_room, now)
         spilled += has_room
-    assert spilled == MOST_SHARE * 400
+    assert spilled == MAX_SPILLED_SHARE * 400
 
 
 def test_a_daemon_with_few_requests_sends_one_elsewhere() -> None:
