--- a/packages/kitekeel-peers/src/kitekeel_peers/limit_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/limit_exchange.py
@@ -13,7 +13,7 @@
 
 LIMITS = "Limits"
 # Limits the call rate when a back end advertises a different limit in every answer.
-_JOIN_SECONDS = 0.3
+_BATCH_SECONDS = 0.3
 LimitNews = RecordNews[LimitRecord]
 LimitReply = RecordReply[LimitRecord]
 
@@ -40,5 +40,5 @@
             loop,
             generator,
             on_failure,
-            _JOIN_SECONDS,
+            _BATCH_SECONDS,
         )
--- a/packages/kitekeel-peers/src/kitekeel_peers/membership.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/membership.py
@@ -1,6 +1,7 @@
-"""Membership between daemons: heartbeats with piggy-backed news, after SWIM (Das et al., 2002).
+"""Gossip-based membership with failure detection, after SWIM (Das et al., 2002).
 
-It is not consensus: views differ for a while, and nothing that must be agreed rests on it.
+Probes carry recent membership updates. This is not consensus: the views of daemons may differ
+temporarily, so nothing that requires agreement may depend on it.
 """
 
 from __future__ import annotations
@@ -34,12 +35,12 @@
 
 
 class MembershipTiming(msgspec.Struct, frozen=True):
-    """All in seconds, but for the number of helpers.
+    """Intervals, timeouts and the number of indirect probes.
 
     Attributes:
         probe_interval_seconds: time between two probes by one daemon.
-        suspicion_seconds: time that a suspected member has to refute.
-        indirect_probes: how many others are asked to probe a silent member.
+        suspicion_seconds: time that a suspected member has to refute the suspicion.
+        indirect_probes: how many other members are asked to probe an unresponsive one.
     """
 
     probe_interval_seconds: float = 0.5
@@ -52,17 +53,18 @@
 
 
 class Membership:
-    """Keeps one daemon's view of the others.
+    """Maintains one daemon's view of the other daemons.
 
     Args:
         own: this daemon's record.
         client: calls other daemons.
-        clock: times suspicions.
-        hybrid_clock: stamps messages.
+        clock: measures the time since a suspicion began.
+        hybrid_clock: timestamps messages.
         progress: returns how far this daemon knows each part of its state.
-        on_peer_progress: called with what each daemon tells that knows more or believes otherwise.
+        on_peer_progress: called with the progress of each daemon that is ahead of this one or has
+            conflicting state.
         on_change: called with each changed member record.
-        seeds: returns addresses to join through, from settings and the machine list.
+        seeds: returns the addresses to join through, from the settings and the machine list.
     """
 
     def __init__(
@@ -85,13 +87,13 @@
         self._seeds = seeds
         self._timing = timing or MembershipTiming()
         self._clock = clock
-        self._round: list[str] = []
+        self._probe_queue: list[str] = []
         self._random = random.Random(own.instance)
         self._last_full_sync = clock.monotonic()
         self._last_dead_probe = clock.monotonic()
 
     def register(self, server: PeerServer) -> None:
-        """Serve the methods of membership."""
+        """Register the RPC handlers."""
         server.register(PROBE, ProbeRequest, self._handle_probe)
         server.register(JOIN, JoinRequest, self._handle_join)
 
@@ -100,7 +102,7 @@
         return [each for each in self.table.live() if each.region == region and each.is_serving]
 
     def resolve_home(self, instance: str) -> MemberRecord | None:
-        """Return the live member that answers for an instance's keys: itself or its successor."""
+        """Return the live member responsible for an instance's keys: itself or its successor."""
         record = self.table.find(instance)
         seen: set[str] = set()
         while record is not None and record.successor and record.instance not in seen:
@@ -111,23 +113,23 @@
         return record
 
     def announce_phase(self, phase: MemberPhase) -> None:
-        """Tell all whether callers and keepers should be sent here."""
+        """Announce this daemon's phase, which decides whether it receives new work."""
         self.table.update_own(msgspec.structs.replace(self.table.own(), phase=phase))
         self.probe_neighbours()
 
     def announce_successor(self, successor: str) -> None:
-        """Tell all who answers for this daemon's keys from now on."""
+        """Announce the instance that is responsible for this daemon's keys from now on."""
         self.table.update_own(msgspec.structs.replace(self.table.own(), successor=successor))
         self.probe_neighbours()
 
     def announce_left(self) -> None:
-        """Tell all that this daemon has stopped."""
+        """Announce that this daemon has stopped."""
         record = msgspec.structs.replace(self.table.own(), state=MemberState.LEFT)
         self.table.update_own(record)
         self.probe_neighbours()
 
     def probe_neighbours(self) -> None:
-        """Send the latest news to every neighbour at once."""
+        """Probe every neighbour immediately, to send them the latest updates."""
         for record in self._neighbour_records():
             try:
                 self._probe(record)
@@ -135,7 +137,7 @@
                 continue
 
     def join(self) -> int:
-        """Join through every seed that answers; return how many did."""
+        """Join through every seed that answers; return the number of these seeds."""
         answered = 0
         own = self.table.own()
         for address in sorted(set(self._seeds())):
@@ -146,36 +148,36 @@
         return answered
 
     def run(self, stop: threading.Event) -> None:
-        """Probe a neighbour in turn until told to stop, joining anew while alone."""
+        """Probe neighbours in turn until stopped; rejoin while no other member is known."""
         while not stop.wait(self._timing.probe_interval_seconds):
             if len(self.table.live()) <= 1:
                 self.join()
                 continue
             self._probe_next()
-            self._probe_a_dead_member()
-            self._end_suspicions()
+            self._probe_dead_member()
+            self._expire_suspicions()
             self.table.forget_ended()
 
     def _probe_next(self) -> None:
-        if not self._round:
-            self._round = [each.instance for each in self._neighbour_records()]
-            self._random.shuffle(self._round)
-        if not self._round:
+        if not self._probe_queue:
+            self._probe_queue = [each.instance for each in self._neighbour_records()]
+            self._random.shuffle(self._probe_queue)
+        if not self._probe_queue:
             return
-        record = self.table.find(self._round.pop())
+        record = self.table.find(self._probe_queue.pop())
         if record is None or record.state >= MemberState.DEAD:
             return
         try:
             self._probe(record)
         except PeerError:
-            if not self._probe_through_others(record):
+            if not self._probe_indirectly(record):
                 self.table.set_state(record.instance, MemberState.SUSPECT)
 
-    def _probe_a_dead_member(self) -> None:
-        """Now and then try a member that is thought dead.
+    def _probe_dead_member(self) -> None:
+        """Probe a random dead member, if the interval has passed.
 
-        After a partition each side thinks the other dead, and neither would ever probe it again.
-        The probe carries the record that calls the member dead, so that it refutes it.
+        After a partition each side considers the other dead, and would otherwise never probe it
+        again. The probe carries the record that declares the member dead, so that it can refute it.
         """
         now = self._clock.monotonic()
         if now - self._last_dead_probe < self._timing.dead_probe_interval_seconds:
@@ -186,7 +188,7 @@
         self._last_dead_probe = now
         record = self._random.choice(dead)
         try:
-            self._probe(record, told=(record,))
+            self._probe(record, extra_updates=(record,))
         except PeerError:
             return
 
@@ -195,35 +197,35 @@
         return [live[name] for name in neighbours(self.table.own().instance, live)]
 
     def _probe(
-        self, record: MemberRecord, target: str = "", told: tuple[MemberRecord, ...] = ()
+        self, record: MemberRecord, target: str = "", extra_updates: tuple[MemberRecord, ...] = ()
     ) -> ProbeReply:
         request = ProbeRequest(
             sender=self.table.own().instance,
             stamp=self._hybrid_clock.tick(),
-            updates=(*told, *self.table.take_news()),
+            updates=(*extra_updates, *self.table.take_news()),
             progress=self._progress(),
             digest=self.table.digest(),
             target=target,
         )
-        # A helper needs the time of its own probe before it can answer.
+        # For an indirect probe, the helper probes the target before it answers.
         timeout = self._timing.probe_timeout_seconds * (2 if target else 1)
         reply = self._client.call(record.peer_address, PROBE, request, ProbeReply, timeout)
         self._hybrid_clock.observe(reply.stamp)
         self.table.merge(reply.updates)
         if reply.instance != record.instance:
-            # A new process took the address over, so the probed one is certainly gone.
+            # Another process now uses this address, so the probed one has ended.
             self.table.set_state(record.instance, MemberState.DEAD)
             return reply
         if record.state is MemberState.SUSPECT and not target:
             self._clear_suspicion(record)
-        self._compare(record.peer_address, reply.progress, reply.digest)
+        self._compare_state(record.peer_address, reply.progress, reply.digest)
         return reply
 
     def _clear_suspicion(self, record: MemberRecord) -> None:
-        """Tell a suspected member that answers of the suspicion, so that it refutes it."""
+        """Gossip the suspicion again, so that the member learns of it and refutes it."""
         self.table.merge([record])
 
-    def _probe_through_others(self, record: MemberRecord) -> bool:
+    def _probe_indirectly(self, record: MemberRecord) -> bool:
         others = [
             each
             for each in self.table.live()
@@ -239,7 +241,7 @@
                 continue
         return False
 
-    def _end_suspicions(self) -> None:
+    def _expire_suspicions(self) -> None:
         for record in self.table.live():
             if record.state is not MemberState.SUSPECT:
                 continue
@@ -252,10 +254,10 @@
     def _note_progress(self, address: str, progress: tuple[PartProgress, ...]) -> None:
         theirs = PeerProgress(address, progress)
         own = self._progress()
-        if theirs.parts_ahead_of(own) or theirs.parts_unlike(own):
+        if theirs.parts_ahead_of(own) or theirs.conflicting_parts(own):
             self._on_peer_progress(theirs)
 
-    def _compare(self, address: str, progress: tuple[PartProgress, ...], digest: int) -> None:
+    def _compare_state(self, address: str, progress: tuple[PartProgress, ...], digest: int) -> None:
         self._note_progress(address, progress)
         since = self._clock.monotonic() - self._last_full_sync
         differs = digest != self.table.digest()
@@ -281,23 +283,23 @@
         sender = self.table.find(request.sender)
         if sender is not None:
             self._note_progress(sender.peer_address, request.progress)
-        reached = not request.target or self._reach(request.target)
+        reached = not request.target or self._is_reachable(request.target)
         return ProbeReply(
             instance=self.table.own().instance,
             stamp=self._hybrid_clock.tick(),
-            updates=(*self.table.take_news(), *self._unknown_to_sender(sender)),
+            updates=(*self.table.take_news(), *self._refutable_record(sender)),
             progress=self._progress(),
             digest=self.table.digest(),
             reached=reached,
         )
 
-    def _unknown_to_sender(self, sender: MemberRecord | None) -> tuple[MemberRecord, ...]:
-        """Return the sender's own record where it is thought dead, so that it can refute."""
+    def _refutable_record(self, sender: MemberRecord | None) -> tuple[MemberRecord, ...]:
+        """Return the sender's record if it is not alive here, so that the sender can refute it."""
         if sender is None or sender.state is MemberState.ALIVE:
             return ()
         return (sender,)
 
-    def _reach(self, instance: str) -> bool:
+    def _is_reachable(self, instance: str) -> bool:
         record = self.table.find(instance)
         if record is None:
             return False
@@ -309,6 +311,6 @@
     def _handle_join(self, request: JoinRequest) -> JoinReply:
         self._hybrid_clock.observe(request.stamp)
         self.table.merge([request.record])
-        # Ended members are told too: whoever missed the news of a death learns it only here.
+        # Includes ended members: a daemon that missed the update learns of their end only here.
         records = tuple(self.table.all())
         return JoinReply(records, self._progress(), self._hybrid_clock.tick())
--- a/packages/kitekeel-peers/src/kitekeel_peers/messages.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/messages.py
@@ -12,7 +12,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """State of a member; among records of one counter the higher state wins."""
+    """State of a member; of two records with equal counters, the one with the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -21,7 +21,7 @@
 
 
 class MemberPhase(enum.IntEnum):
-    """How far a daemon is in its life, as it says itself."""
+    """Lifecycle phase of a daemon, as announced by itself."""
 
     STARTING = 0
     SERVING = 1
@@ -29,14 +29,14 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What the daemons tell each other about one daemon instance.
+    """Membership record of one daemon instance, as exchanged between daemons.
 
     Attributes:
         instance: unique for each process start.
         place: number of the entry machine in its region, from 1.
-        counter: raised by the member itself to refute a suspicion.
-        phase: how far it is in its life; callers are sent only to one that is serving.
-        successor: the instance that answers for its keys after it has left.
+        counter: incarnation number, raised by the member itself to refute a suspicion.
+        phase: lifecycle phase; callers are sent only to serving members.
+        successor: the instance responsible for its keys after it has left.
     """
 
     instance: str
@@ -53,11 +53,11 @@
 
     @property
     def is_serving(self) -> bool:
-        """Tell whether the member is alive, not suspected, and open to new work."""
+        """Return whether the member is alive, not suspected, and accepts new work."""
         return self.state is MemberState.ALIVE and self.phase is MemberPhase.SERVING
 
     def outranks(self, other: MemberRecord) -> bool:
-        """Tell whether this record is newer than another one of the same instance."""
+        """Return whether this record supersedes another one of the same instance."""
         if other.state is MemberState.LEFT:
             return False
         if self.state is MemberState.LEFT:
@@ -66,19 +66,19 @@
 
 
 def describe_state(record: MemberRecord) -> str:
-    """Return a member's state in a word, for people."""
+    """Return a human-readable word for a member's state."""
     if record.state is MemberState.ALIVE:
         return record.phase.name.lower()
     return record.state.name.lower()
 
 
 class ProbeRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A heartbeat with news.
+    """A heartbeat that carries membership updates.
 
     Attributes:
         progress: for each part of its state, how far the sender knows it.
-        digest: hash over all member records the sender knows.
-        target: the member to be probed on the sender's behalf; empty for the receiver itself.
+        digest: hash over the sender's records of live members.
+        target: the member to probe on the sender's behalf; empty to probe the receiver itself.
     """
 
     sender: str
@@ -90,7 +90,7 @@
 
 
 class ProbeReply(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to a heartbeat."""
+    """Reply to a heartbeat."""
 
     instance: str
     stamp: Stamp
@@ -101,14 +101,14 @@
 
 
 class JoinRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for every member record, giving one's own."""
+    """Sends the sender's record and requests all member records."""
 
     record: MemberRecord
     stamp: Stamp
 
 
 class JoinReply(msgspec.Struct, frozen=True, array_like=True):
-    """Every member record, and the sender's progress as in a heartbeat."""
+    """All member records, and the responder's progress as in a heartbeat."""
 
     records: tuple[MemberRecord, ...]
     progress: tuple[PartProgress, ...]
@@ -116,56 +116,56 @@
 
 
 class PeerProgress(msgspec.Struct, frozen=True):
-    """What another daemon told of its progress, part by part.
+    """Progress of another daemon in each part of its state.
 
-    Two daemons of different versions may tell of different numbers of parts; those that both have
-    are compared.
+    Daemons of different versions may have different numbers of parts; only common ones are
+    compared.
     """
 
     address: str
     parts: tuple[PartProgress, ...]
 
     def parts_ahead_of(self, own: tuple[PartProgress, ...]) -> list[int]:
-        """Return the parts, by number, that are known further there than here."""
+        """Return the indexes of the parts in which the other daemon is ahead of this one."""
         pairs = zip(self.parts, own, strict=False)
         return [
             part for part, (there, here) in enumerate(pairs) if there.last_change > here.last_change
         ]
 
-    def parts_unlike(self, own: tuple[PartProgress, ...]) -> list[int]:
-        """Return the parts that are known as far there as here, but believed otherwise."""
+    def conflicting_parts(self, own: tuple[PartProgress, ...]) -> list[int]:
+        """Return the indexes of the parts with equal last changes but different contents."""
         pairs = zip(self.parts, own, strict=False)
-        return [part for part, (there, here) in enumerate(pairs) if _contradict(there, here)]
+        return [part for part, (there, here) in enumerate(pairs) if _conflicts(there, here)]
 
 
-def _contradict(there: PartProgress, here: PartProgress) -> bool:
+def _conflicts(there: PartProgress, here: PartProgress) -> bool:
     if there.last_change != here.last_change or not (there.fingerprint and here.fingerprint):
         return False
     return there.fingerprint != here.fingerprint
 
 
 class PullRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for the configuration if it is later than a revision."""
+    """Requests the configuration if it is later than a revision."""
 
     later_than: int
 
 
 class PullReply(msgspec.Struct, frozen=True, array_like=True):
-    """The configuration document, empty where there is no later one."""
+    """The configuration document; empty if there is no later one."""
 
     revision: int
     document: bytes
 
 
 class SpreadTarget(msgspec.Struct, frozen=True, array_like=True):
-    """A daemon that is to take a configuration."""
+    """A daemon that a configuration is to be propagated to."""
 
     instance: str
     peer_address: str
 
 
 class SpreadRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Tells of a revision; the receiver takes it and passes it on to its part of the targets."""
+    """Announces a revision; the receiver pulls it and forwards this to the given targets."""
 
     revision: int
     source_address: str
@@ -180,13 +180,13 @@
 
 
 class HandoverRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Hands a part of a stopping instance's keys to its successor."""
+    """Transfers a part of a stopping instance's keys to its successor."""
 
     source: str
     records: tuple[KeyRecord, ...]
 
 
 class HandoverReply(msgspec.Struct, frozen=True, array_like=True):
-    """Tells that the records were taken over."""
+    """Confirms that the records were imported."""
 
     accepted: bool
--- a/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
@@ -1,8 +1,9 @@
-"""Hands tokens for requests from the keepers of each region to the daemons.
+"""Distributes rate limit tokens from the keepers of each region to the daemons.
 
-See :mod:`kitekeel_steering.tenant_quota` for why the limits hold whoever the keepers are. A request
-takes a token of the daemon's stock; where there is none its daemon asks the keeper of its region,
-for all waiting requests at once. Keepers that run short ask those of the other regions.
+Each request takes a token from its daemon's local stock. If the stock is empty, the daemon asks the
+keeper of its region on behalf of all waiting requests at once. A keeper that runs short asks the
+keepers of other regions. :mod:`kitekeel_steering.tenant_quota` explains why the limits hold
+whichever daemons are keepers.
 """
 
 from __future__ import annotations
@@ -33,30 +34,31 @@
 )
 
 QUOTA = "Quota"
-# A request waits for the answer, so that a silent keeper must not cost it its time.
+# Requests wait for the answer, so an unresponsive keeper must not use up their deadline.
 _TIMEOUT_SECONDS = 0.3
-_KEEPERS_TRIED = 2
+_MAX_KEEPERS_TRIED = 2
 _CALL_THREADS = 8
-# A daemon that got no token of a tenant refuses its requests for so long without asking again.
-_LEAST_PAUSE_SECONDS = 0.08
-_MOST_PAUSE_SECONDS = 0.2
-# A tenant whose requests came within this time gets its stock filled up.
-_DEMAND_SECONDS = 2.0
+# After the keeper had no token for a tenant, the daemon refuses the tenant's requests for a random
+# time in this range before it asks again.
+_MIN_PAUSE_SECONDS = 0.08
+_MAX_PAUSE_SECONDS = 0.2
+# The stock of a tenant is refilled if it had requests within this time.
+_ACTIVE_TENANT_SECONDS = 2.0
 _DIGEST_RANGE = float(1 << 64)
 
 
-class _Waiting:
-    """Requests of one daemon that wait for tokens of one tenant."""
+class _WaitingRequests:
+    """Requests of one daemon that are waiting for tokens of one tenant."""
 
     def __init__(self, shares: QuotaShares) -> None:
         self.shares = shares
         self.futures: list[asyncio.Future[bool]] = []
 
-    def decide(self, tokens: int) -> int:
-        """Give each a token as far as they go, the longest waiting first.
+    def resolve(self, tokens: int) -> int:
+        """Resolve all waiting requests, giving the tokens to those that have waited longest.
 
         Returns:
-            The tokens left over; negative by the number of requests that got none.
+            The number of tokens left over, or minus the number of requests that got none.
         """
         for future in self.futures:
             if future.done():
@@ -67,12 +69,12 @@
         return tokens
 
 
-class _Group:
-    """One daemon's exchange with the keeper of one group of tenants."""
+class _GroupState:
+    """State of one daemon's exchange with the keeper of one group of tenants."""
 
     def __init__(self, now: float) -> None:
         self.lent = LentTime(now)
-        self.waiting: dict[str, _Waiting] = {}
+        self.waiting: dict[str, _WaitingRequests] = {}
         self.returned: dict[str, QuotaWant] = {}
         self.task: asyncio.Task[None] | None = None
         self.is_alone = False
@@ -80,16 +82,16 @@
 
 
 class QuotaExchange:
-    """One daemon's part in the exchange of tokens; used on one event loop.
+    """One daemon's side of the token exchange; must be used on a single event loop.
 
     Args:
-        keepers: tells who keeps which tokens.
-        shares_of: returns a tenant's shares by the configuration in force, ``None`` where that
-            states no limit or no such tenant.
-        has_limits: tells whether any tenant may have one; without, nothing is exchanged.
+        keepers: selects the keeper of each group.
+        shares_of: returns a tenant's shares under the current configuration, or ``None`` if the
+            tenant is unknown or has no limit.
+        has_limits: returns whether any tenant may have a limit; if none has, nothing is exchanged.
         daemons: returns how many daemons share the limits.
-        metrics: counts where tokens came from.
-        on_keeper: called where a group's keeper is lost (with the reason) or found again.
+        metrics: counts the sources of tokens.
+        on_keeper: called with the group, whether its keeper was found or lost, and the reason.
         method: RPC method name; each kind of limit has its own.
         groups: number of groups that limits are divided into, each with its own keepers.
         limits_with_home: returns the shares of the limits that have a home region, by limit name.
@@ -124,7 +126,7 @@
         self._random = generator
         self._on_keeper = on_keeper
         self._threads = ThreadPoolExecutor(_CALL_THREADS, thread_name_prefix=method.lower())
-        self._groups = [_Group(clock.monotonic()) for _ in range(groups)]
+        self._groups = [_GroupState(clock.monotonic()) for _ in range(groups)]
         self._stocks: dict[str, QuotaStock] = {}
         self._asked_at: dict[str, float] = {}
         self._refused_until: dict[str, float] = {}
@@ -158,7 +160,7 @@
         self._pools.forget(tenant)
 
     def register(self, server: PeerServer) -> None:
-        """Serve the method."""
+        """Register the RPC handler."""
         server.register(self._method, QuotaRequest, self._pools.serve)
 
     def loops(self) -> list[Coroutine[None, None, None]]:
@@ -170,18 +172,18 @@
         self._threads.shutdown(wait=False, cancel_futures=True)
 
     async def claim(self, tenant: str, shares: QuotaShares) -> Claim:
-        """Take a token for one request."""
+        """Try to take a token for one request."""
         now = self._clock.monotonic()
         self._asked_at[tenant] = now
         if self._stock(tenant).take(shares, self._daemons()):
             return Claim.FROM_STOCK
         group = self._groups[self._group_of(tenant)]
         if group.is_alone:
-            is_taken = self._take_own(group, tenant, shares, now)
+            is_taken = self._take_own_token(group, tenant, shares, now)
             return Claim.EARNED_ALONE if is_taken else Claim.NONE_EARNED_ALONE
         if now < self._refused_until.get(tenant, 0.0):
             return Claim.NONE_A_MOMENT_AGO
-        waiting = group.waiting.setdefault(tenant, _Waiting(shares))
+        waiting = group.waiting.setdefault(tenant, _WaitingRequests(shares))
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         waiting.futures.append(future)
         self._start_exchange(self._group_of(tenant))
@@ -194,13 +196,13 @@
         return Claim.FROM_KEEPER if is_taken else Claim.KEEPER_HAD_NONE
 
     def give_back(self, tenant: str, shares: QuotaShares) -> None:
-        """Return the token of a request that no back end ran."""
+        """Return the token of a request that no back end executed."""
         left_over = self._stock(tenant).add(shares, self._daemons(), 1)
         if left_over:
             self._return(tenant, shares, left_over)
 
     def is_alone(self) -> bool:
-        """Tell whether this daemon lives on its own earnings, as no keeper answers."""
+        """Return whether no keeper of a group answers, so that the daemon uses only own tokens."""
         return any(each.is_alone for each in self._groups)
 
     def _return(self, tenant: str, shares: QuotaShares, tokens: int) -> None:
@@ -219,7 +221,9 @@
         name = f"{tenant}/{self._keepers.own_address()}"
         return int(xxhash.xxh64_intdigest(name.encode())) / _DIGEST_RANGE
 
-    def _take_own(self, group: _Group, tenant: str, shares: QuotaShares, now: float) -> bool:
+    def _take_own_token(
+        self, group: _GroupState, tenant: str, shares: QuotaShares, now: float
+    ) -> bool:
         earnings = group.earnings.get(tenant)
         if earnings is None:
             rounding = self._rounding(tenant)
@@ -227,10 +231,10 @@
         return earnings.take(shares, self._daemons(), now)
 
     async def _lend_regularly(self, number: int) -> None:
-        """Exchange with the keeper at each interval, also where no request waits.
+        """Exchange with the keeper at regular intervals, even if no request is waiting.
 
-        Daemons lend before they serve, too: after the loss of all daemons these seconds are all the
-        tokens there are.
+        Daemons also lend time before they serve requests: after a restart of all daemons, tokens
+        come only from this lent time.
         """
         while True:
             await asyncio.sleep(LENDING_SECONDS * self._random.uniform(0.7, 0.9))
@@ -243,7 +247,7 @@
             group.task = asyncio.get_running_loop().create_task(self._exchange(number))
 
     async def _exchange(self, number: int) -> None:
-        """Exchange with the keeper until no request waits for tokens."""
+        """Exchange with the keeper until no request is waiting for tokens."""
         while True:
             await self._exchange_once(number)
             if not self._groups[number].waiting:
@@ -257,32 +261,32 @@
         try:
             reply = await self._ask_keepers(number, group, wants)
             if reply is None:
-                self._decide_alone(group, waiting)
+                self._resolve_from_own_tokens(group, waiting)
             else:
-                self._hand_out(reply, waiting)
+                self._distribute(reply, waiting)
         finally:
-            # No request is left waiting, whatever happened.
+            # Resolve the remaining requests even if the exchange failed.
             for requests in waiting.values():
-                requests.decide(0)
+                requests.resolve(0)
 
-    def _hand_out(self, reply: QuotaReply, waiting: dict[str, _Waiting]) -> None:
+    def _distribute(self, reply: QuotaReply, waiting: dict[str, _WaitingRequests]) -> None:
         granted = {each.tenant: each.tokens for each in reply.grants}
         for tenant, requests in waiting.items():
-            left = requests.decide(granted.pop(tenant, 0))
+            left = requests.resolve(granted.pop(tenant, 0))
             if left < 0:
-                self._pause(tenant)
+                self._pause_requests(tenant)
             else:
                 granted[tenant] = left
         for tenant, tokens in granted.items():
-            self._put_by(tenant, tokens)
+            self._add_to_stock(tenant, tokens)
 
-    def _wants(self, number: int, waiting: dict[str, _Waiting]) -> tuple[QuotaWant, ...]:
-        """Return what waiting requests need, and what stocks of busy tenants lack."""
+    def _wants(self, number: int, waiting: dict[str, _WaitingRequests]) -> tuple[QuotaWant, ...]:
+        """Return the tokens needed by waiting requests and to refill stocks of active tenants."""
         now = self._clock.monotonic()
         wanted: Counter[str] = Counter({name: len(each.futures) for name, each in waiting.items()})
         shares = {name: each.shares for name, each in waiting.items()}
         for tenant, asked_at in list(self._asked_at.items()):
-            if now - asked_at > _DEMAND_SECONDS:
+            if now - asked_at > _ACTIVE_TENANT_SECONDS:
                 del self._asked_at[tenant]
                 continue
             if self._group_of(tenant) != number:
@@ -297,7 +301,7 @@
             QuotaWant(name, count, shares[name]) for name, count in wanted.items() if count > 0
         )
 
-    def _put_by(self, tenant: str, tokens: int) -> None:
+    def _add_to_stock(self, tenant: str, tokens: int) -> None:
         shares = self._shares_of(tenant)
         if shares is None or not tokens:
             return
@@ -305,17 +309,17 @@
         if left_over:
             self._return(tenant, shares, left_over)
 
-    def _pause(self, tenant: str) -> None:
-        pause = self._random.uniform(_LEAST_PAUSE_SECONDS, _MOST_PAUSE_SECONDS)
+    def _pause_requests(self, tenant: str) -> None:
+        pause = self._random.uniform(_MIN_PAUSE_SECONDS, _MAX_PAUSE_SECONDS)
         self._refused_until[tenant] = self._clock.monotonic() + pause
 
     async def _ask_keepers(
-        self, number: int, group: _Group, wants: tuple[QuotaWant, ...]
+        self, number: int, group: _GroupState, wants: tuple[QuotaWant, ...]
     ) -> QuotaReply | None:
-        """Return the keeper's reply, or another one's where it is silent.
+        """Return the reply of the keeper, or of another one if it does not answer.
 
-        Seconds are spent with a call that was sent: whether one without an answer was heard nobody
-        knows, and seconds that count twice would admit requests beyond the limit.
+        Lent seconds count as spent once a call was sent. A call without an answer may have been
+        processed, and counting its seconds twice would admit requests beyond the limit.
         """
         now = self._clock.monotonic()
         seconds = 0.0 if group.is_alone else group.lent.take(now)
@@ -323,7 +327,7 @@
         # daemon's loan: a keeper would apply it to all its lenders.
         seen_share = self._seen_daemons() / max(1, self._daemons())
         reason = ""
-        for _ in range(_KEEPERS_TRIED):
+        for _ in range(_MAX_KEEPERS_TRIED):
             address = self._keepers.of_own_region(number)
             request = QuotaRequest(
                 number,
@@ -348,23 +352,25 @@
         self._note_keeper(number, group, False, reason)
         return None
 
-    def _note_keeper(self, number: int, group: _Group, is_found: bool, reason: str) -> None:
+    def _note_keeper(self, number: int, group: _GroupState, is_found: bool, reason: str) -> None:
         if group.is_alone is not is_found:
             return
         group.is_alone = not is_found
         group.earnings.clear()
         if is_found:
-            # What was earned alone is not lent as well.
+            # Discard the time already used for own tokens, so that it is not lent as well.
             group.lent.take(self._clock.monotonic())
         self._on_keeper(number, is_found, reason)
 
-    def _decide_alone(self, group: _Group, waiting: dict[str, _Waiting]) -> None:
+    def _resolve_from_own_tokens(
+        self, group: _GroupState, waiting: dict[str, _WaitingRequests]
+    ) -> None:
         now = self._clock.monotonic()
         for tenant, requests in waiting.items():
             tokens = sum(
-                self._take_own(group, tenant, requests.shares, now) for _ in requests.futures
+                self._take_own_token(group, tenant, requests.shares, now) for _ in requests.futures
             )
-            requests.decide(tokens)
+            requests.resolve(tokens)
 
     async def _ask(self, address: str, request: QuotaRequest) -> QuotaReply:
         loop = asyncio.get_running_loop()
@@ -373,7 +379,7 @@
         try:
             return await loop.run_in_executor(self._threads, serve, request)
         except RuntimeError as error:
-            raise PeerError(f"{self._method} at {address}: this daemon is ending") from error
+            raise PeerError(f"{self._method} at {address}: this daemon is stopping") from error
 
     def _call(
         self, address: str, request: QuotaRequest, timeout_seconds: float = _TIMEOUT_SECONDS
--- a/packages/kitekeel-peers/src/kitekeel_peers/quota_pools.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/quota_pools.py
@@ -1,7 +1,8 @@
-"""A keeper's side of the exchange of tokens: it serves daemons, and other regions' keepers.
+"""The keeper's side of the token exchange; serves daemons and the keepers of other regions.
 
-Calls are served on the threads of the peer server: a daemon whose event loop is busy for some
-tenths of a second, as with a new configuration, would else hold up the requests of its region.
+Calls are served on the threads of the peer server. On the event loop, a task that blocks it for a
+few tenths of a second, such as applying a configuration, would delay the requests of the whole
+region.
 """
 
 from __future__ import annotations
@@ -22,21 +23,22 @@
 from kitekeel_steering.metrics import Metrics
 from kitekeel_steering.tenant_quota import QuotaPool, QuotaShares, without_rounding
 
-# A pool that holds less than its demand of this time asks other regions for as much.
-_KEPT_SECONDS = 0.5
-# Two of many regions are asked at a time.
-_REGIONS_ASKED = 2
-# A tenant whose pools were found empty is asked about again after this time, doubling.
-_LEAST_PULL_INTERVAL_SECONDS = 0.2
-_LONGEST_PULL_INTERVAL_SECONDS = 1.0
+# A pool that holds fewer tokens than its demand during this time requests more from other regions.
+_RESERVE_SECONDS = 0.5
+# Maximum number of other regions that are asked at a time.
+_MAX_REGIONS_ASKED = 2
+# Range of the interval between requests for a tenant's tokens. The interval doubles each time the
+# other keepers had none.
+_MIN_PULL_INTERVAL_SECONDS = 0.2
+_MAX_PULL_INTERVAL_SECONDS = 1.0
 # Opening a connection to a distant region takes several round trips of up to 0.12 s.
 _PULL_TIMEOUT_SECONDS = 1.0
 # Interval at which tokens are forwarded to their home region.
 _FORWARD_INTERVAL_SECONDS = 0.2
 # Pause after a failed forward; until then the tokens stay available to the own region's callers.
 _FORWARD_PAUSE_SECONDS = 2.0
-# Where there is no token at all, requests wait so long for a region that answers at once.
-_WAIT_SECONDS = 0.18
+# If there is no token left, requests wait this long for an answer from another region.
+_MAX_WAIT_SECONDS = 0.18
 
 Call = Callable[[str, QuotaRequest, float], QuotaReply]
 
@@ -44,19 +46,19 @@
 class QuotaPools:
     """The pools of one daemon, one for each group of tenants; safe to use from many threads.
 
-    Every daemon has them, and those of one that nobody takes for a keeper stay empty.
+    Every daemon has pools; they stay empty while no daemon considers it a keeper.
 
     Args:
-        groups: how many groups of tenants there are.
-        keepers: tells who keeps tokens in the other regions.
-        shares_of: returns a tenant's shares by the configuration in force, ``None`` where that
-            states no limit or no such tenant.
+        groups: number of groups of tenants.
+        keepers: selects the keepers of the other regions.
+        shares_of: returns a tenant's shares under the current configuration, or ``None`` if the
+            tenant is unknown or has no limit.
         daemons: returns how many daemons share the limits.
-        call: asks another daemon, waiting for so many seconds at most.
-        executor: runs what no request waits for.
-        generator: chooses among the regions.
+        call: sends a request to another daemon, with a timeout in seconds.
+        executor: runs calls to other keepers.
+        generator: selects the regions to ask.
         limits_with_home: returns the shares of the limits that have a home region, by limit name.
-        rounding_of: as the rounding of a daemon's stock, by tenant.
+        rounding_of: returns the rounding of a tenant's pool, as for a daemon's stock.
     """
 
     def __init__(
@@ -90,18 +92,18 @@
         self._pull_intervals: dict[str, float] = {}
 
     def serve(self, request: QuotaRequest) -> QuotaReply:
-        """Take the seconds that a daemon lends, and return what there is of the tokens it wants.
+        """Accept the time that a daemon lends, and grant the available part of the tokens it wants.
 
-        Where there is none of a tenant, other regions are asked before the answer is given. Tokens
-        with a home region are not waited for, as another back end can serve the request.
+        If a tenant has no tokens here, other regions are asked before this returns. Tokens with a
+        home region are not waited for, because another back end can serve the request.
         """
         if not 0 <= request.group < len(self._pools):
             return QuotaReply(())
-        granted = self._take(request, request.wants)
+        granted = self._grant(request, request.wants)
         if request.is_keeper:
             return _reply(granted)
         self._forward(request.group)
-        lacking = self._lacking(request)
+        lacking = self._shortfalls(request)
         if not lacking:
             return _reply(granted)
         pulls = self._pull(request.group, lacking)
@@ -111,14 +113,14 @@
             if each.tokens > 0 and each.tenant not in granted and not each.shares.home
         ]
         if any(each.tenant == want.tenant for each in unserved for want in lacking):
-            wait(pulls, _WAIT_SECONDS)
-            granted |= self._take(request, unserved, lends=False)
+            wait(pulls, _MAX_WAIT_SECONDS)
+            granted |= self._grant(request, unserved, lends=False)
         return _reply(granted)
 
-    def _take(
+    def _grant(
         self, request: QuotaRequest, wants: Iterable[QuotaWant], lends: bool = True
     ) -> dict[str, int]:
-        """Return the tokens given out, by tenant."""
+        """Apply a request to its pool and return the granted tokens by tenant."""
         now = self._clock.monotonic()
         daemons = max(request.daemons, self._daemons())
         pool = self._pools[request.group]
@@ -129,12 +131,12 @@
             if request.lenders:
                 pool.note_forwarder(request.sender, request.lenders, now)
             for want in wants:
-                tokens = self._take_one(pool, want, request.is_keeper, now, daemons)
+                tokens = self._grant_one(pool, want, request.is_keeper, now, daemons)
                 if tokens:
                     granted[want.tenant] = tokens
         return granted
 
-    def _take_one(
+    def _grant_one(
         self, pool: QuotaPool, want: QuotaWant, is_keeper: bool, now: float, daemons: int
     ) -> int:
         shares = self._shares_of(want.tenant) or want.shares
@@ -145,16 +147,16 @@
             return pool.take_part(want.tenant, shares, want.tokens, now, daemons)
         return pool.take(want.tenant, shares, want.tokens, now, daemons)
 
-    def _lacking(self, request: QuotaRequest) -> tuple[QuotaWant, ...]:
-        """Return what to ask other regions for, where this one's demand outruns its part."""
+    def _shortfalls(self, request: QuotaRequest) -> tuple[QuotaWant, ...]:
+        """Return the tokens to request from other regions, where demand exceeds the supply here."""
         now = self._clock.monotonic()
         daemons = max(request.daemons, self._daemons())
         pool = self._pools[request.group]
         with self._lock:
-            found = [self._lacking_of(pool, each, now, daemons) for each in request.wants]
+            found = [self._shortfall(pool, each, now, daemons) for each in request.wants]
         return tuple(each for each in found if each is not None)
 
-    def _lacking_of(
+    def _shortfall(
         self, pool: QuotaPool, want: QuotaWant, now: float, daemons: int
     ) -> QuotaWant | None:
         if want.tokens <= 0:
@@ -166,7 +168,7 @@
         demand.note(want.tokens, now)
         kept = float(want.tokens)
         if not shares.home:
-            kept = max(kept, demand.per_second(now) * _KEPT_SECONDS)
+            kept = max(kept, demand.per_second(now) * _RESERVE_SECONDS)
         lacking = kept - pool.level(want.tenant, shares, now, daemons)
         interval = self._pull_intervals.get(want.tenant, 0.0)
         if lacking <= 0 or now - self._pulled_at.get(want.tenant, -math.inf) < interval:
@@ -204,7 +206,7 @@
             keeper = self._keepers.of_region(group, home)
             return [keeper] if keeper is not None else []
         addresses = self._keepers.of_other_regions(group)
-        asked = self._random.sample(addresses, min(_REGIONS_ASKED, len(addresses)))
+        asked = self._random.sample(addresses, min(_MAX_REGIONS_ASKED, len(addresses)))
         nearest = self._keepers.of_own_region(group)
         if nearest != self._keepers.own_address():
             asked.append(nearest)
@@ -262,16 +264,16 @@
         try:
             reply = self._call(address, request, _PULL_TIMEOUT_SECONDS)
         except PeerError:
-            # The peer client counts it; another keeper of that region is asked next time.
+            # The peer client counts the failure. Another keeper of that region is asked next time.
             self._keepers.note_failure(address)
             return
         given = {each.tenant: each.tokens for each in reply.grants}
         now = self._clock.monotonic()
         with self._lock:
             for want in wants:
-                self._take_in(group, want, given.get(want.tenant, 0), now)
+                self._store_pulled(group, want, given.get(want.tenant, 0), now)
 
-    def _take_in(self, group: int, want: QuotaWant, tokens: int, now: float) -> None:
+    def _store_pulled(self, group: int, want: QuotaWant, tokens: int, now: float) -> None:
         self._adapt_interval(want.tenant, tokens > 0)
         if not tokens:
             return
@@ -283,8 +285,8 @@
         if has_gained:
             self._pull_intervals.pop(tenant, None)
             return
-        interval = self._pull_intervals.get(tenant, _LEAST_PULL_INTERVAL_SECONDS / 2)
-        self._pull_intervals[tenant] = min(2 * interval, _LONGEST_PULL_INTERVAL_SECONDS)
+        interval = self._pull_intervals.get(tenant, _MIN_PULL_INTERVAL_SECONDS / 2)
+        self._pull_intervals[tenant] = min(2 * interval, _MAX_PULL_INTERVAL_SECONDS)
 
 
 def _reply(granted: dict[str, int]) -> QuotaReply:
--- a/packages/kitekeel-peers/src/kitekeel_peers/record_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/record_exchange.py
@@ -1,9 +1,10 @@
-"""Shares small sets of records among all daemons.
+"""Replicates small sets of records to all daemons by gossip with anti-entropy.
 
-A record that has changed is told to the neighbours on the ring, who tell theirs; one that has not
-is not told on, so nothing goes in circles. What a lost call, a cut or a start leaves out is made up
-for by comparing with a neighbour in turn. Where no daemon has a record nothing is sent, but for the
-comparisons in the first seconds after a start.
+A daemon sends a changed record to its neighbours on the ring, which send it to theirs. A record
+that changes nothing at the receiver is not forwarded, so none circulates forever. Records missed
+because of a lost call, a partition or a restart are recovered by regular comparisons with a random
+neighbour. While no daemon has any records nothing is sent, except comparisons in the first seconds
+after a start.
 """
 
 from __future__ import annotations
@@ -23,21 +24,21 @@
 from kitekeel_peers.rpc import PeerClient, PeerServer
 from kitekeel_steering.errors import PeerError
 
-_COMPARE_SECONDS = 1.0
+_COMPARE_INTERVAL_SECONDS = 1.0
 # Applies while there are no recent changes and no urgent records.
-_CALM_COMPARE_SECONDS = 5.0
-_CALM_AFTER_SECONDS = 10.0
-_FIRST_COMPARE_SECONDS = 0.1
+_IDLE_COMPARE_INTERVAL_SECONDS = 5.0
+_IDLE_AFTER_SECONDS = 10.0
+_INITIAL_COMPARE_INTERVAL_SECONDS = 0.1
 # Lets a daemon fetch changes that propagated during its start and that nobody sends again.
 _STARTUP_SECONDS = 5.0
 # Batches changes that occur in quick succession into one call.
-_JOIN_SECONDS = 0.05
-# Daemons that learned something together do not stay in step.
+_BATCH_SECONDS = 0.05
+# Desynchronizes daemons that learned of a change at the same time.
 _JITTER_SHARE = 0.2
-# The longest way there and back takes 0.12 s; a busy daemon may take some tenths more.
+# The longest round trip takes 0.12 s; a busy daemon may need a few tenths of a second more.
 _TIMEOUT_SECONDS = 1.0
-# As many as a daemon has neighbours in a fleet of 1,000.
-_CALLS_AT_ONCE = 10
+# The number of neighbours that a daemon has in a fleet of 1,000.
+_MAX_CONCURRENT_CALLS = 10
 
 
 class SharedRecord(Protocol):
@@ -74,13 +75,13 @@
 
 
 class RecordNews(msgspec.Struct, Generic[Record], frozen=True, array_like=True):
-    """Tells of records, and asks for others.
+    """Sends records, and requests newer ones.
 
     Attributes:
         sender: the sender's peer address, for the receiver's log.
-        records: those that the receiver may lack.
-        digest: over all records of the sender, to be told those that differ; ``None`` where only
-            the records told here are to be answered.
+        records: the records that the receiver may not have.
+        digest: hash over all records of the sender, to request the receiver's records if they
+            differ; ``None`` to request only newer versions of the records sent here.
     """
 
     sender: str
@@ -89,10 +90,10 @@
 
 
 class RecordReply(msgspec.Struct, Generic[Record], frozen=True, array_like=True):
-    """The records of which the receiver knows more or, where digests differ, all of its own.
+    """The records that differ from the request's or, if the digests differ, all records.
 
     Attributes:
-        is_same: whether digests were compared and are the same.
+        is_same: whether digests were compared and are equal.
     """
 
     records: tuple[Record, ...] = ()
@@ -100,15 +101,15 @@
 
 
 class RecordExchange(Generic[Record]):
-    """Shares one daemon's records.
+    """Replicates one daemon's records to and from its neighbours.
 
     Args:
         method: RPC method name.
         news_type, reply_type: the message types, parametrized with the record type.
         records: accessed only on the event loop.
         loop: the event loop.
-        on_failure: called with the address of a daemon that could not be told, and why.
-        join_seconds: minimum time between two rounds of calls about changes; changes in between
+        on_failure: called with the address of a daemon that could not be reached, and the reason.
+        batch_seconds: minimum time between two rounds of calls about changes; changes in between
             are batched into the next round.
     """
 
@@ -123,9 +124,9 @@
         loop: asyncio.AbstractEventLoop,
         generator: random.Random,
         on_failure: Callable[[str, str], None],
-        join_seconds: float = _JOIN_SECONDS,
+        batch_seconds: float = _BATCH_SECONDS,
     ) -> None:
-        self._join_seconds = join_seconds
+        self._batch_seconds = batch_seconds
         self._method = method
         self._news_type = news_type
         self._reply_type = reply_type
@@ -135,9 +136,9 @@
         self._loop = loop
         self._random = generator
         self._on_failure = on_failure
-        self._untold: dict[str, Record] = {}
-        self._telling: asyncio.Task[None] | None = None
-        self._threads = ThreadPoolExecutor(_CALLS_AT_ONCE, thread_name_prefix=method.lower())
+        self._unsent: dict[str, Record] = {}
+        self._send_task: asyncio.Task[None] | None = None
+        self._threads = ThreadPoolExecutor(_MAX_CONCURRENT_CALLS, thread_name_prefix=method.lower())
         self._calls: set[asyncio.Task[RecordReply[Record] | None]] = set()
         self._has_compared = False
         self._changed_at = float("-inf")
@@ -145,23 +146,23 @@
         self._startup_ends_at = loop.time() + _STARTUP_SECONDS
 
     def register(self, server: PeerServer) -> None:
-        """Serve the method."""
+        """Register the RPC handler."""
         handler = on_event_loop(self._reply, self._loop, _TIMEOUT_SECONDS)
         server.register(self._method, self._news_type, handler)
 
     def tell(self, record: Record) -> None:
-        """Tell the neighbours of a record that has changed; called on the event loop."""
+        """Send a changed record to the neighbours; must be called on the event loop."""
         self._changed_at = self._loop.time()
         self._change_event.set()
-        self._untold[record.identity] = record
-        if self._telling is None or self._telling.done():
-            self._telling = self._loop.create_task(self._tell_all())
+        self._unsent[record.identity] = record
+        if self._send_task is None or self._send_task.done():
+            self._send_task = self._loop.create_task(self._send_pending())
 
     async def run(self) -> None:
-        """Compare with a neighbour in turn, until cancelled."""
+        """Compare with a random neighbour at each interval, until cancelled."""
         while True:
             if self._is_comparison_needed():
-                await self._compare_with_a_neighbour()
+                await self._compare_with_neighbour()
             await self._wait_for_next_comparison()
 
     def _is_comparison_needed(self) -> bool:
@@ -169,7 +170,7 @@
         return is_starting or not self._has_compared or self._records.needs_comparison()
 
     async def _wait_for_next_comparison(self) -> None:
-        """Wait for the interval; a change replaces the rest of it with a short wait."""
+        """Wait for the interval; after a change, the rest of it is shortened."""
         jitter = self._random.uniform(1.0 - _JITTER_SHARE, 1.0 + _JITTER_SHARE)
         seconds = self._interval_seconds() * jitter
         self._change_event.clear()
@@ -178,33 +179,33 @@
                 await self._change_event.wait()
         except TimeoutError:
             return
-        await asyncio.sleep(min(seconds, _COMPARE_SECONDS * jitter))
+        await asyncio.sleep(min(seconds, _COMPARE_INTERVAL_SECONDS * jitter))
 
     def _interval_seconds(self) -> float:
         if not self._has_compared:
-            return _FIRST_COMPARE_SECONDS
+            return _INITIAL_COMPARE_INTERVAL_SECONDS
         now = self._loop.time()
-        is_calm = now >= self._startup_ends_at and now - self._changed_at > _CALM_AFTER_SECONDS
-        if is_calm and not self._records.has_urgent_records():
-            return _CALM_COMPARE_SECONDS
-        return _COMPARE_SECONDS
+        is_idle = now >= self._startup_ends_at and now - self._changed_at > _IDLE_AFTER_SECONDS
+        if is_idle and not self._records.has_urgent_records():
+            return _IDLE_COMPARE_INTERVAL_SECONDS
+        return _COMPARE_INTERVAL_SECONDS
 
     def close(self) -> None:
-        """Tell nobody any more."""
+        """Stop making calls."""
         self._threads.shutdown(wait=False, cancel_futures=True)
 
-    async def _tell_all(self) -> None:
-        """Tell what there is, without waiting for neighbours that do not answer."""
-        while self._untold:
-            news = RecordNews(self._own_address(), tuple(self._untold.values()))
-            self._untold.clear()
+    async def _send_pending(self) -> None:
+        """Send the pending records, without waiting for neighbours that do not answer."""
+        while self._unsent:
+            news = RecordNews(self._own_address(), tuple(self._unsent.values()))
+            self._unsent.clear()
             for each in self._neighbours():
                 call = self._loop.create_task(self._call(each, news))
                 self._calls.add(call)
                 call.add_done_callback(self._calls.discard)
-            await asyncio.sleep(self._join_seconds)
+            await asyncio.sleep(self._batch_seconds)
 
-    async def _compare_with_a_neighbour(self) -> None:
+    async def _compare_with_neighbour(self) -> None:
         others = self._neighbours()
         if not others:
             return
@@ -217,14 +218,14 @@
             return
         theirs = {each.identity: each for each in reply.records}
         own = self._records.records()
-        lacking = tuple(each for each in own if theirs.get(each.identity) != each)
-        if lacking:
-            await self._call(other, RecordNews(self._own_address(), lacking))
+        missing = tuple(each for each in own if theirs.get(each.identity) != each)
+        if missing:
+            await self._call(other, RecordNews(self._own_address(), missing))
 
     async def _call(
         self, other: MemberRecord, news: RecordNews[Record]
     ) -> RecordReply[Record] | None:
-        """Tell one daemon and take over what it knows more; ``None`` where it did not answer."""
+        """Send records to a daemon and merge its reply; return ``None`` if it did not answer."""
         address = other.peer_address
         try:
             reply = await self._loop.run_in_executor(
@@ -237,7 +238,7 @@
                 _TIMEOUT_SECONDS,
             )
         except (PeerError, RuntimeError) as error:
-            # The threads refuse calls once the daemon is closing.
+            # The executor raises RuntimeError once the daemon is stopping.
             self._on_failure(address, str(error))
             return None
         self._records.merge(reply.records, f"peer {address}")
@@ -250,7 +251,13 @@
             return RecordReply(() if is_same else self._records.records(), is_same)
         own = (self._records.find(each.identity) for each in news.records)
         pairs = zip(own, news.records, strict=True)
-        return RecordReply(tuple(mine for mine, told in pairs if mine is not None and mine != told))
+        return RecordReply(
+            tuple(
+                own_record
+                for own_record, received in pairs
+                if own_record is not None and own_record != received
+            )
+        )
 
     def _own_address(self) -> str:
         return self._members.own().peer_address
--- a/packages/kitekeel-peers/src/kitekeel_peers/rpc.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/rpc.py
@@ -1,7 +1,7 @@
-"""Unary calls between daemons: grpcio carries them, msgspec encodes the messages.
+"""Unary RPC between daemons, over gRPC with messages encoded by msgspec.
 
-No generated code is needed: methods are registered with their message types. Every call carries the
-daemons' shared secret; with certificates in the settings the channel is mutual TLS as well.
+Methods are registered with their message types, so no generated code is needed. Every call carries
+the daemons' shared secret. If certificates are configured, channels also use mutual TLS.
 """
 
 from __future__ import annotations
@@ -21,32 +21,32 @@
 _SERVICE = "kitekeel.Peers"
 _SECRET_HEADER = "kitekeel-secret"
 _WORKERS = 24
-_MOST_MESSAGE_BYTES = 8 * 1024 * 1024
+_MAX_MESSAGE_BYTES = 8 * 1024 * 1024
 _SERVER_OPTIONS = [
     ("grpc.so_reuseport", 0),
-    ("grpc.max_receive_message_length", _MOST_MESSAGE_BYTES),
+    ("grpc.max_receive_message_length", _MAX_MESSAGE_BYTES),
 ]
-# grpc gives up opening a connection after this time, whatever the deadline of the call. Opening
-# takes a round trip and the peer's first bytes, 0.17 s between the most distant regions known, and
-# more where the peer is busy. Calls wait no longer than their own deadline.
-_LEAST_CONNECT_MILLISECONDS = 1000
-_FIRST_RECONNECT_MILLISECONDS = 100
-_LONGEST_RECONNECT_MILLISECONDS = 1000
+# gRPC aborts a connection attempt after this time, regardless of the deadline of the call. An
+# attempt takes a round trip and the peer's first bytes: 0.17 s between the most distant known
+# regions, and more if the peer is busy. Calls still wait no longer than their own deadline.
+_CONNECT_TIMEOUT_MILLISECONDS = 1000
+_INITIAL_RECONNECT_MILLISECONDS = 100
+_MAX_RECONNECT_MILLISECONDS = 1000
 _CHANNEL_OPTIONS = [
     ("grpc.enable_http_proxy", 0),
-    ("grpc.initial_reconnect_backoff_ms", _FIRST_RECONNECT_MILLISECONDS),
-    ("grpc.min_reconnect_backoff_ms", _LEAST_CONNECT_MILLISECONDS),
-    ("grpc.max_reconnect_backoff_ms", _LONGEST_RECONNECT_MILLISECONDS),
-    ("grpc.max_receive_message_length", _MOST_MESSAGE_BYTES),
+    ("grpc.initial_reconnect_backoff_ms", _INITIAL_RECONNECT_MILLISECONDS),
+    ("grpc.min_reconnect_backoff_ms", _CONNECT_TIMEOUT_MILLISECONDS),
+    ("grpc.max_reconnect_backoff_ms", _MAX_RECONNECT_MILLISECONDS),
+    ("grpc.max_receive_message_length", _MAX_MESSAGE_BYTES),
     ("grpc.use_local_subchannel_pool", 1),
 ]
 
-# Guards against a daemon that fills its own network link with a large configuration that it tells
-# to many others at once. Smaller messages, such as heartbeats, are sent as they are.
-_COMPRESSED_FROM_BYTES = 4_096
+# Messages of this size or more are compressed, so that a daemon that sends a large configuration to
+# many others at once does not saturate its network link. Smaller ones, such as heartbeats, are not.
+_COMPRESSION_THRESHOLD_BYTES = 4_096
 
-# How grpc's details of a call begin for which no connection could be opened.
-_NO_CONNECTION = "failed to connect"
+# Prefix of gRPC's error details if no connection could be established.
+_NO_CONNECTION_PREFIX = "failed to connect"
 
 Request = TypeVar("Request", bound=msgspec.Struct)
 Reply = TypeVar("Reply", bound=msgspec.Struct)
@@ -61,14 +61,14 @@
 
 
 class PeerServer:
-    """Serves calls of other daemons.
+    """Serves calls from other daemons.
 
     Args:
         address: ``IP:port`` to listen on.
-        secret: shared by all daemons; calls without it are refused.
+        secret: shared by all daemons; calls without it are rejected.
         metrics: counts calls and bytes.
         tls: for mutual TLS; ``None`` for plain TCP.
-        workers: threads that answer calls, where several servers share them.
+        workers: thread pool that serves calls, if several servers share one.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
     def register(
         self, method: str, request_type: type[Request], handler: Callable[[Request], msgspec.Struct]
     ) -> None:
-        """Serve a method; to be called before ``start``."""
+        """Register a method; must be called before ``start``."""
         decoder = msgspec.msgpack.Decoder(request_type)
 
         def handle(payload: bytes, context: grpc.ServicerContext) -> bytes:
@@ -99,14 +99,14 @@
             self._metrics.increment("peers.bytes_received", len(payload))
             reply = self._answer(payload, decoder, handler, context)
             self._metrics.increment("peers.bytes_sent", len(reply))
-            if len(reply) >= _COMPRESSED_FROM_BYTES:
+            if len(reply) >= _COMPRESSION_THRESHOLD_BYTES:
                 context.set_compression(grpc.Compression.Gzip)
             return reply
 
         self._handlers[method] = grpc.unary_unary_rpc_method_handler(handle)
 
     def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises:
             PeerError: the address cannot be bound.
@@ -123,7 +123,7 @@
         self._server = server
 
     def stop(self, grace_seconds: float = 0.5) -> None:
-        """Stop listening, letting calls in progress end within the grace."""
+        """Stop listening, and wait up to the grace period for calls in progress."""
         if self._server is not None:
             self._server.stop(grace_seconds).wait(grace_seconds + 1.0)
 
@@ -139,8 +139,8 @@
         server.add_secure_port(self._address, credentials)
 
     def _check_secret(self, context: grpc.ServicerContext) -> None:
-        given = dict(context.invocation_metadata()).get(_SECRET_HEADER, "")
-        if not hmac.compare_digest(str(given).encode(), self._secret):
+        received_secret = dict(context.invocation_metadata()).get(_SECRET_HEADER, "")
+        if not hmac.compare_digest(str(received_secret).encode(), self._secret):
             self._metrics.increment("peers.refused")
             context.abort(grpc.StatusCode.UNAUTHENTICATED, "the shared secret is wrong")
 
@@ -164,13 +164,13 @@
 
 
 class PeerClient:
-    """Calls other daemons, with one channel for each address that is in use.
+    """Calls other daemons, with one cached channel for each address.
 
     Args:
         secret: shared by all daemons.
         metrics: counts calls, bytes and failures.
         tls: for mutual TLS; ``None`` for plain TCP.
-        most_channels: the channel unused for longest is closed beyond this number.
+        max_channels: beyond this number, the least recently used channel is closed.
     """
 
     def __init__(
@@ -178,12 +178,12 @@
         secret: str,
         metrics: Metrics,
         tls: TlsFiles | None = None,
-        most_channels: int = 128,
+        max_channels: int = 128,
     ) -> None:
         self._metadata = ((_SECRET_HEADER, secret),)
         self._metrics = metrics
         self._tls = tls
-        self._most_channels = most_channels
+        self._max_channels = max_channels
         self._channels: dict[str, grpc.Channel] = {}
         self._lock = threading.Lock()
         self._is_closed = False
@@ -199,15 +199,15 @@
         """Call a method of another daemon.
 
         Raises:
-            PeerError: no answer in time or none that can be read, or the daemon refused.
+            PeerError: the call timed out or was refused, or its reply cannot be decoded.
         """
         if self._is_closed:
-            raise PeerError(f"{method} at {address}: this daemon is ending")
+            raise PeerError(f"{method} at {address}: this daemon is stopping")
         payload = msgspec.msgpack.encode(request)
         self._metrics.increment("peers.calls_sent")
         self._metrics.increment("peers.bytes_sent", len(payload))
         stub = self._channel(address).unary_unary(f"/{_SERVICE}/{method}")
-        is_large = len(payload) >= _COMPRESSED_FROM_BYTES
+        is_large = len(payload) >= _COMPRESSION_THRESHOLD_BYTES
         try:
             raw: Any = stub(
                 payload,
@@ -227,16 +227,16 @@
             raise PeerError(f"{method} at {address}: {error}") from error
 
     def forget(self, address: str) -> None:
-        """Close the channel to an address, as after its daemon's death."""
+        """Close the channel to an address, for example after its daemon died."""
         with self._lock:
             channel = self._channels.pop(address, None)
         if channel is not None:
             channel.close()
 
     def close(self) -> None:
-        """End every call, also those under way, and let none begin.
+        """Cancel all calls in progress and reject new ones.
 
-        A thread that waits for a frozen daemon would else keep the process from its end.
+        Otherwise a thread that waits for a frozen daemon would keep the process from exiting.
         """
         self._is_closed = True
         with self._lock:
@@ -246,15 +246,15 @@
             channel.close()
 
     def _channel(self, address: str) -> grpc.Channel:
-        retired: grpc.Channel | None = None
+        evicted: grpc.Channel | None = None
         with self._lock:
             channel = self._channels.pop(address, None) or self._open(address)
             self._channels[address] = channel
-            if len(self._channels) > self._most_channels:
+            if len(self._channels) > self._max_channels:
                 oldest = next(iter(self._channels))
-                retired = self._channels.pop(oldest)
-        if retired is not None:
-            retired.close()
+                evicted = self._channels.pop(oldest)
+        if evicted is not None:
+            evicted.close()
         return channel
 
     def _open(self, address: str) -> grpc.Channel:
@@ -267,10 +267,10 @@
 
 
 def _is_unsent(error: Exception) -> bool:
-    """Tell whether the call certainly was not sent, as no connection was there to send it on."""
+    """Return whether the call was certainly not sent, because there was no connection."""
     if not isinstance(error, grpc.Call) or error.code() is not grpc.StatusCode.UNAVAILABLE:
         return False
-    return str(error.details()).startswith(_NO_CONNECTION)
+    return str(error.details()).startswith(_NO_CONNECTION_PREFIX)
 
 
 def _describe(error: Exception) -> str:
