--- a/packages/kitekeel-peers/src/kitekeel_peers/__init__.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between daemons: membership, configuration spread, grants."""
+"""Communication between daemons: RPC, membership, replication, slot grants and quotas."""
--- a/packages/kitekeel-peers/src/kitekeel_peers/configuration_spread.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/configuration_spread.py
@@ -1,8 +1,9 @@
-"""The configuration in force in this daemon, and its spread to the others.
+"""The configuration in force in this daemon, and its propagation to the others.
 
-A daemon holds the highest revision it has seen and never goes lower. A change spreads down a tree:
-each daemon takes it, passes it on to its part of the targets, and answers who has it. Heartbeats
-carry the revision, so that whoever the tree missed pulls it from the next neighbour that has it.
+A daemon keeps the highest revision it has seen and never reverts to a lower one. A new revision is
+propagated down a tree: each daemon pulls it, forwards the announcement to its part of the targets,
+and replies with the instances that have it. Heartbeats carry the revision, so a daemon that the
+tree missed pulls it from a neighbour that has it.
 """
 
 from __future__ import annotations
@@ -30,20 +31,20 @@
 
 _FAN_OUT = 8
 _PULL_TIMEOUT_SECONDS = 2.0
-_LEAST_SECONDS_FOR_RELAY = 0.2
-_RELAY_MARGIN = 0.8
+_MIN_RELAY_SECONDS = 0.2
+_RELAY_DEADLINE_SHARE = 0.8
 
 
 class ConfigurationSpread:
-    """Holds and spreads the configuration.
+    """Stores and propagates the configuration.
 
     Args:
         client: calls other daemons.
-        own_address: where this daemon's document can be pulled.
+        own_address: the address from which others pull this daemon's document.
         own_instance: this daemon's instance, for confirmations.
         on_adopt: called with each configuration that comes into force here.
-        on_unreadable: told of a daemon's document that cannot be read, and why; the present
-            configuration stays in force.
+        on_unreadable: called with a description of each received document that cannot be decoded;
+            the current configuration stays in force.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         self._document = encode_configuration(self._current)
 
     def register(self, server: PeerServer) -> None:
-        """Serve the methods of the spread."""
+        """Register the RPC handlers."""
         server.register(PULL, PullRequest, self._handle_pull)
         server.register(SPREAD, SpreadRequest, self._handle_spread)
 
@@ -77,10 +78,10 @@
         return self._current.revision
 
     def adopt(self, configuration: Configuration) -> bool:
-        """Put a configuration into force unless it is not later than the present one.
+        """Put a configuration into force if it is newer than the current one.
 
-        The listener runs under the lock, so that two revisions arriving at once come into force in
-        their order and the lower one is never put on top of the higher.
+        The listener runs under the lock, so that two revisions that arrive concurrently come into
+        force in order, and the lower one never replaces the higher.
         """
         with self._lock:
             if configuration.revision <= self._current.revision:
@@ -91,7 +92,7 @@
             return True
 
     def pull(self, address: str) -> bool:
-        """Fetch a later configuration from another daemon; tell whether there was one."""
+        """Pull a newer configuration from another daemon; return whether one was adopted."""
         request = PullRequest(self.revision())
         try:
             reply = self._client.call(address, PULL, request, PullReply, _PULL_TIMEOUT_SECONDS)
@@ -107,10 +108,10 @@
         return self.adopt(msgspec.structs.replace(configuration, revision=reply.revision))
 
     def spread(self, targets: Sequence[SpreadTarget], seconds: float) -> set[str]:
-        """Bring the present revision to others.
+        """Propagate the current revision to other daemons.
 
         Returns:
-            The instances on which it, or a later one, is in force; this one included.
+            The instances on which it or a later one is in force, including this one.
         """
         confirmed = {self._own_instance}
         parts = _split([each for each in targets if each.instance != self._own_instance])
@@ -123,15 +124,15 @@
         return confirmed
 
     def _relay(self, part: Sequence[SpreadTarget], deadline: float) -> set[str]:
-        """Hand a part of the targets to its first member; if that is silent, to the next."""
+        """Delegate a part of the targets to its first member, or the next if that one fails."""
         remaining = list(part)
         while remaining:
             seconds = deadline - steady_seconds()
-            if seconds < _LEAST_SECONDS_FOR_RELAY:
+            if seconds < _MIN_RELAY_SECONDS:
                 break
             head, *rest = remaining
             request = SpreadRequest(
-                self.revision(), self._own_address, tuple(rest), seconds * _RELAY_MARGIN
+                self.revision(), self._own_address, tuple(rest), seconds * _RELAY_DEADLINE_SHARE
             )
             try:
                 reply = self._client.call(head.peer_address, SPREAD, request, SpreadReply, seconds)
--- a/packages/kitekeel-peers/src/kitekeel_peers/crash_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/crash_exchange.py
@@ -1,4 +1,4 @@
-"""Shares records of back ends that ended under a request among all daemons."""
+"""Replicates records of back ends that ended during a request to all daemons."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CrashExchange(RecordExchange[CrashRecord]):
-    """Shares one daemon's crash ledger; see :class:`RecordExchange`."""
+    """Replicates one daemon's crash ledger; see :class:`RecordExchange`."""
 
     def __init__(
         self,
--- a/packages/kitekeel-peers/src/kitekeel_peers/grant_exchanges.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/grant_exchanges.py
@@ -1,4 +1,4 @@
-"""The holder's loop of one pool: renews grants, and asks sooner when requests wait."""
+"""The holder's loop for one pool: renews grants, more often while requests are waiting."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 )
 from kitekeel_steering.grant_timing import GrantTiming
 
-_IDLE_FACTOR = 2
+_IDLE_INTERVAL_FACTOR = 2
 
 
 class GrantHolder(Protocol):
-    """What the loop needs of the service's admission."""
+    """The operations of the service's admission that the loop uses."""
 
     def prepare_exchange(
         self, pool: PoolName, after_silence: bool, voting: bool, echo: float
@@ -31,27 +31,27 @@
         """Build the next request."""
 
     def apply_reply(self, pool: PoolName, reply: ExchangeReply) -> None:
-        """Take a reply."""
+        """Apply a keeper's reply."""
 
     def has_unmet_demand(self, pool: PoolName) -> bool:
-        """Tell whether requests wait."""
+        """Return whether requests are waiting for slots."""
 
     def is_idle(self, pool: PoolName, seconds: float) -> bool:
-        """Tell whether the pool has not been used for some time."""
+        """Return whether the pool has been unused for this many seconds."""
 
 
 class GrantExchanges:
-    """Exchanges of one pool with its keeper, on a thread of their own.
+    """Exchanges grants of one pool with its keeper, on a dedicated thread.
 
     Args:
         pool: the pool.
         holder: the admission whose slots are renewed.
-        choice: who the keeper is.
-        own_keeper: the keeper in this daemon, called directly when it is the one.
+        choice: selects the keeper.
+        own_keeper: the keeper in this daemon, called directly if it is selected.
         own_instance: this daemon's instance.
         client: calls other daemons.
-        timing: lives and intervals.
-        may_vote: false for a holder of another region.
+        timing: lifetimes and intervals of grants.
+        may_vote: false for a holder in another region.
     """
 
     def __init__(
@@ -73,20 +73,20 @@
         self._client = client
         self._timing = timing
         self._may_vote = may_vote
-        self._demand = threading.Event()
+        self._exchange_requested = threading.Event()
 
     def ask_soon(self) -> None:
-        """Have the next exchange made before its turn."""
-        self._demand.set()
+        """Make the next exchange without waiting for the interval."""
+        self._exchange_requested.set()
 
     def run(self, stop: threading.Event) -> None:
-        """Exchange until told to stop; a last exchange then gives every idle slot back."""
+        """Make exchanges at intervals until told to stop."""
         while not stop.is_set():
             self.exchange_once()
-            self._pause(stop)
+            self._wait_for_next_exchange(stop)
 
     def exchange_once(self) -> None:
-        """Make one exchange with the present keeper."""
+        """Make one exchange with the current keeper."""
         keeper = self._choice.keeper()
         if keeper is None:
             return
@@ -112,20 +112,20 @@
             return
         if reply.state is KeeperState.RESIGNED:
             self._choice.note_resigned()
-            self._demand.set()
+            self._exchange_requested.set()
             return
         self._choice.note_answered(reply.keeper_time)
         if reply.state is KeeperState.GRANTING:
             self._holder.apply_reply(self._pool, reply)
 
-    def _pause(self, stop: threading.Event) -> None:
-        """Wait for the next turn: soon while requests wait, seldom while nothing is asked."""
-        if self._demand.is_set() or self._holder.has_unmet_demand(self._pool):
-            self._demand.clear()
+    def _wait_for_next_exchange(self, stop: threading.Event) -> None:
+        """Wait before the next exchange: briefly if requests are waiting, longer if idle."""
+        if self._exchange_requested.is_set() or self._holder.has_unmet_demand(self._pool):
+            self._exchange_requested.clear()
             stop.wait(self._timing.urgent_interval_seconds)
             return
         interval = self._timing.exchange_interval_seconds
         if self._holder.is_idle(self._pool, self._timing.grant_life_seconds):
-            interval *= _IDLE_FACTOR
-        self._demand.wait(interval)
-        self._demand.clear()
+            interval *= _IDLE_INTERVAL_FACTOR
+        self._exchange_requested.wait(interval)
+        self._exchange_requested.clear()
--- a/packages/kitekeel-peers/src/kitekeel_peers/keeper.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/keeper.py
@@ -1,4 +1,4 @@
-"""The keeper's side of slot grants: one ledger for each pool that holders ask this daemon for."""
+"""The keeper's side of slot grants: one ledger for each pool that holders request slots of."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 EXCHANGE = "Exchange"
 
-_UNUSED_SECONDS = 10.0
-_RESIGNED_SECONDS = 3.0
+_UNUSED_LEDGER_SECONDS = 10.0
+_RESIGNED_LEDGER_SECONDS = 3.0
 
 
 class PoolStatus(msgspec.Struct, frozen=True):
-    """A pool as its keeper sees it, in slots.
+    """A pool from its keeper's point of view, in slots.
 
     Attributes:
-        held_back: slots that holders unknown to a new keeper may still be using.
+        held_back: slots that may still be used by holders that a new keeper does not know.
     """
 
     pool: PoolName
@@ -39,15 +39,15 @@
 
 
 class Keeper:
-    """Ledgers of the pools kept here; safe to call from many threads.
+    """Manages the ledgers of the pools kept by this daemon; thread-safe.
 
-    A ledger begins with the first exchange that asks for its pool. It has no power before enough of
-    the region's entry machines turn to it, so beginning one by mistake does no harm.
+    A ledger is created by the first exchange for its pool. It has no authority to grant slots until
+    enough of the region's entry machines vote for it, so creating one by mistake is harmless.
 
     Args:
-        instance: this process start.
-        clock: times grants.
-        timing: lives and intervals of grants.
+        instance: unique for this process start.
+        clock: measures the lifetime of grants.
+        timing: lifetimes and intervals of grants.
         on_event: called with a kind and a text for each change of state.
     """
 
@@ -64,7 +64,7 @@
         self._on_event = on_event
         self._lock = threading.Lock()
         self._ledgers: dict[PoolName, Ledger] = {}
-        self._last_asked: dict[PoolName, float] = {}
+        self._last_request_at: dict[PoolName, float] = {}
         self._resigned_at: dict[PoolName, float] = {}
         self._authority: dict[PoolName, float] = {}
         self._configuration = Configuration()
@@ -72,34 +72,35 @@
         self._stopping = False
 
     def register(self, server: PeerServer) -> None:
-        """Serve exchanges."""
+        """Register the RPC handler."""
         server.register(EXCHANGE, ExchangeRequest, self.exchange)
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a configuration."""
+        """Apply a configuration to all ledgers."""
         with self._lock:
             self._configuration = configuration
             self._configure_ledgers()
 
     def set_leaving(self, addresses: frozenset[str]) -> None:
-        """Take the addresses that the machine list says are leaving."""
+        """Set the addresses that are leaving according to the machine list."""
         with self._lock:
             if addresses != self._leaving:
                 self._leaving = addresses
                 self._configure_ledgers()
 
     def exchange(self, request: ExchangeRequest) -> ExchangeReply:
-        """Answer a holder.
+        """Handle a holder's request.
 
         Raises:
-            PeerError: the request is for a former process at this address. What that one granted is
-                not known here, so its holders must wait it out like any silent keeper's.
+            PeerError: the request is for a former process at this address. The grants of that
+                process are unknown here, so its holders must wait until they expire, as they do for
+                any keeper that does not answer.
         """
         if request.keeper != self._instance:
             raise PeerError(f"{request.keeper} is gone; this is {self._instance}")
         with self._lock:
             ledger = self._ledger(request.pool)
-            self._last_asked[request.pool] = self._clock.monotonic()
+            self._last_request_at[request.pool] = self._clock.monotonic()
             for name in ledger.room.note_results(request.results):
                 self._on_event("back-end-ejected", f"{name}: its answers fail or are slow")
             reply = ledger.exchange(request)
@@ -107,13 +108,13 @@
             return reply
 
     def note_report(self, back_end: str, report: LoadReport) -> None:
-        """Take in a back end's load report."""
+        """Record a back end's load report."""
         with self._lock:
             for ledger in self._ledgers_of(back_end):
                 ledger.room.reports.note(back_end, report)
 
     def note_refused(self, back_end: str) -> None:
-        """Take in that a back end refused the probe's connection."""
+        """Record that a back end refused the connection of a probe."""
         with self._lock:
             for ledger in self._ledgers_of(back_end):
                 if ledger.room.reports.note_refused(back_end):
@@ -129,7 +130,7 @@
             ]
 
     def pools(self) -> list[PoolStatus]:
-        """Return the pools that this daemon has authority for."""
+        """Return the status of the pools that this daemon has authority for."""
         with self._lock:
             return [
                 _status(pool, ledger)
@@ -138,19 +139,19 @@
             ]
 
     def review(self, best_keeper: Callable[[PoolName], str | None], own: str) -> None:
-        """Resign pools that another daemon should keep, and drop ledgers nobody asks for."""
+        """Resign pools that another daemon should keep, and remove unused ledgers."""
         with self._lock:
             now = self._clock.monotonic()
             for pool in list(self._ledgers):
                 resigned_at = self._resigned_at.get(pool)
-                resigned = resigned_at is not None and now - resigned_at > _RESIGNED_SECONDS
-                if resigned or now - self._last_asked[pool] > _UNUSED_SECONDS:
-                    self._drop(pool)
+                resigned = resigned_at is not None and now - resigned_at > _RESIGNED_LEDGER_SECONDS
+                if resigned or now - self._last_request_at[pool] > _UNUSED_LEDGER_SECONDS:
+                    self._remove(pool)
                 elif resigned_at is None and best_keeper(pool) not in (own, None):
                     self._resign(pool, now)
 
     def resign_all(self) -> None:
-        """Resign every pool, because the daemon stops."""
+        """Resign every pool, because the daemon is stopping."""
         with self._lock:
             self._stopping = True
             for pool in self._ledgers:
@@ -179,7 +180,7 @@
         self._resigned_at[pool] = now
         self._on_event("keeper-resigned", str(pool))
 
-    def _drop(self, pool: PoolName) -> None:
+    def _remove(self, pool: PoolName) -> None:
         del self._ledgers[pool]
         self._resigned_at.pop(pool, None)
         self._authority.pop(pool, None)
--- a/packages/kitekeel-peers/src/kitekeel_peers/key_handover.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/key_handover.py
@@ -1,4 +1,4 @@
-"""Hands a stopping daemon's keys to another one, which answers for them from then on."""
+"""Transfers a stopping daemon's keys to another one, which is responsible for them afterwards."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 HANDOVER = "Handover"
 
 _TIMEOUT_SECONDS = 5.0
-_LARGEST_PART_BYTES = 1024 * 1024
-_RECORD_BYTES = 512
+_MAX_PART_BYTES = 1024 * 1024
+_ESTIMATED_RECORD_BYTES = 512
 
 
 class KeyHandover:
     """Sends and receives keys.
 
     Args:
-        table: the keys homed here.
+        table: the keys whose home is this daemon.
         client: calls other daemons.
         own_instance: this daemon's instance.
     """
@@ -31,11 +31,11 @@
         self._own_instance = own_instance
 
     def register(self, server: PeerServer) -> None:
-        """Serve handovers."""
+        """Register the RPC handler."""
         server.register(HANDOVER, HandoverRequest, self._handle)
 
     def send(self, successor: MemberRecord, records: Sequence[KeyRecord]) -> bool:
-        """Send records in parts; tell whether the successor has taken all of them."""
+        """Send records in parts; return whether the successor has accepted all of them."""
         for part in _parts(records):
             request = HandoverRequest(self._own_instance, tuple(part))
             try:
@@ -54,15 +54,15 @@
 
 
 def _parts(records: Sequence[KeyRecord]) -> Iterator[list[KeyRecord]]:
-    """Yield the records in parts of bounded size; one empty part where there are none."""
+    """Yield the records in parts of bounded size; the last part may be empty."""
     part: list[KeyRecord] = []
     size = 0
     for record in records:
         part.append(record)
-        size += _RECORD_BYTES
+        size += _ESTIMATED_RECORD_BYTES
         if record.answer is not None and record.answer.body is not None:
             size += len(record.answer.body)
-        if size >= _LARGEST_PART_BYTES:
+        if size >= _MAX_PART_BYTES:
             yield part
             part, size = [], 0
     yield part
--- a/packages/kitekeel-peers/src/kitekeel_peers/limit_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/limit_exchange.py
@@ -1,4 +1,4 @@
-"""Shares the rate limits that back ends advertise among all daemons."""
+"""Replicates the rate limits that back ends advertise to all daemons."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LimitExchange(RecordExchange[LimitRecord]):
-    """Shares the rate limits known to one daemon; see :class:`RecordExchange`."""
+    """Replicates the rate limits known to one daemon; see :class:`RecordExchange`."""
 
     def __init__(
         self,
--- a/packages/kitekeel-peers/src/kitekeel_peers/loop_handler.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/loop_handler.py
@@ -1,4 +1,4 @@
-"""Answers calls of other daemons on the event loop, which alone touches the daemon's state."""
+"""Runs RPC handlers on the event loop, the only thread that may access the daemon's state."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     loop: asyncio.AbstractEventLoop,
     timeout_seconds: float,
 ) -> Callable[[Request], Reply]:
-    """Return a handler for the peer server's threads.
+    """Return a blocking handler, for the peer server's threads, that runs a coroutine on the loop.
 
     Args:
         answer: runs on the event loop.
         loop: the event loop.
-        timeout_seconds: longest time that a thread waits for the answer.
+        timeout_seconds: maximum time that a thread waits for the answer.
     """
 
     def handle(request: Request) -> Reply:
--- a/packages/kitekeel-peers/src/kitekeel_peers/member_table.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/member_table.py
@@ -1,4 +1,4 @@
-"""The member records that one daemon knows, and the rules by which they are merged."""
+"""The member records known to one daemon, and the rules for merging them."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 from kitekeel_peers.messages import MemberRecord, MemberState
 from kitekeel_steering.clock import Clock
 
-_MOST_UPDATES_IN_MESSAGE = 20
+_MAX_UPDATES_PER_MESSAGE = 20
 _SENDS_FACTOR = 2
-_REMEMBER_GONE_SECONDS = 900.0
-# A member raises its counter with each change of its record and each suspicion, some thousand times
-# at most. Beyond this a record is not a member's own, and its counter could not be refuted: it is
-# sent as 64 bits.
-_MOST_COUNTER = 1 << 32
+_ENDED_RETENTION_SECONDS = 900.0
+# A member increments its counter for each change of its record and each suspicion, a few thousand
+# times at most. A record with a higher counter than this is forged or corrupt. It is rejected
+# because refuting it could need a counter beyond the 64 bits of the wire format.
+_MAX_COUNTER = 1 << 32
 
 ChangeListener = Callable[[MemberRecord], None]
 
 
-class _News(msgspec.Struct):
-    """A record that is still passed on with each message."""
+class _PendingUpdate(msgspec.Struct):
+    """A record that is still gossiped, with the number of messages left to include it in."""
 
     record: MemberRecord
     sends_left: int
 
 
 class MemberTable:
-    """Member records by instance; safe to call from many threads.
+    """Member records by instance; thread-safe.
 
     Args:
         own: this daemon's record.
-        clock: times how long ended members are remembered.
+        clock: measures how long ended members are remembered.
         on_change: called with each record that replaced an older one.
     """
 
@@ -44,7 +44,7 @@
         self._lock = threading.RLock()
         self._records = {own.instance: own}
         self._changed_at = {own.instance: clock.monotonic()}
-        self._news: dict[str, _News] = {}
+        self._pending_updates: dict[str, _PendingUpdate] = {}
         self._own_instance = own.instance
         self._digest: int | None = None
 
@@ -69,30 +69,31 @@
             return [each for each in self._records.values() if each.state <= MemberState.SUSPECT]
 
     def seconds_in_state(self, instance: str) -> float:
-        """Return for how long a record has not changed."""
+        """Return the time since a record last changed."""
         with self._lock:
             changed_at = self._changed_at.get(instance, self._clock.monotonic())
             return self._clock.monotonic() - changed_at
 
-    def merge(self, records: Iterable[MemberRecord], pass_on: bool = True) -> None:
-        """Take in records heard from others, refuting any that calls this daemon not alive.
+    def merge(self, records: Iterable[MemberRecord], gossip: bool = True) -> None:
+        """Merge records received from others, refuting any that declares this daemon not alive.
 
         Args:
-            records: what was heard.
-            pass_on: false for a whole table, which the others know already.
+            records: the received records.
+            gossip: whether to gossip changed records; false for a whole table, which the others
+                know already.
         """
-        changed = [record for record in records if self._merge_one(record, pass_on)]
+        changed = [record for record in records if self._merge_one(record, gossip)]
         for record in changed:
             self._on_change(record)
 
     def update_own(self, record: MemberRecord) -> None:
-        """Replace this daemon's record and raise its counter, so that others take it over."""
+        """Replace this daemon's record and increment its counter, so that others accept it."""
         with self._lock:
             counter = self._records[self._own_instance].counter + 1
             self._put(msgspec.structs.replace(record, counter=counter))
 
     def set_state(self, instance: str, state: MemberState) -> bool:
-        """Mark another member suspect or dead; tell whether that is news."""
+        """Mark another member suspect or dead; return whether this changed its state."""
         with self._lock:
             known = self._records.get(instance)
             if known is None or known.state >= state:
@@ -103,23 +104,23 @@
         return True
 
     def take_news(self) -> tuple[MemberRecord, ...]:
-        """Return the records to pass on with the next message, those sent least often first."""
+        """Return the records to gossip with the next message, those with most sends left first."""
         with self._lock:
-            chosen = sorted(self._news.values(), key=lambda each: -each.sends_left)
-            chosen = chosen[:_MOST_UPDATES_IN_MESSAGE]
-            for news in chosen:
-                news.sends_left -= 1
-                if news.sends_left <= 0:
-                    del self._news[news.record.instance]
-            return tuple(news.record for news in chosen)
+            chosen = sorted(self._pending_updates.values(), key=lambda each: -each.sends_left)
+            chosen = chosen[:_MAX_UPDATES_PER_MESSAGE]
+            for update in chosen:
+                update.sends_left -= 1
+                if update.sends_left <= 0:
+                    del self._pending_updates[update.record.instance]
+            return tuple(update.record for update in chosen)
 
     def pending_news(self) -> int:
-        """Return how many records are still passed on."""
+        """Return the number of records that are still gossiped."""
         with self._lock:
-            return len(self._news)
+            return len(self._pending_updates)
 
     def digest(self) -> int:
-        """Return a hash over all records, equal in daemons that know the same."""
+        """Return a hash over the records of live members, equal on daemons with equal records."""
         with self._lock:
             if self._digest is None:
                 lines = sorted(
@@ -131,17 +132,17 @@
             return self._digest
 
     def forget_ended(self) -> None:
-        """Drop members that ended long ago."""
+        """Remove members that ended long ago."""
         with self._lock:
             now = self._clock.monotonic()
             for instance, record in list(self._records.items()):
                 ended = record.state >= MemberState.DEAD
-                if ended and now - self._changed_at[instance] > _REMEMBER_GONE_SECONDS:
+                if ended and now - self._changed_at[instance] > _ENDED_RETENTION_SECONDS:
                     del self._records[instance]
                     del self._changed_at[instance]
 
-    def _merge_one(self, record: MemberRecord, pass_on: bool) -> bool:
-        if not 0 <= record.counter <= _MOST_COUNTER:
+    def _merge_one(self, record: MemberRecord, gossip: bool) -> bool:
+        if not 0 <= record.counter <= _MAX_COUNTER:
             return False
         with self._lock:
             if record.instance == self._own_instance:
@@ -150,13 +151,13 @@
             known = self._records.get(record.instance)
             if known is not None and not record.outranks(known):
                 return False
-            self._put(record, pass_on)
+            self._put(record, gossip)
             return True
 
     def _refute(self, record: MemberRecord) -> None:
-        """Raise the counter above a record that says this daemon is not alive.
+        """Raise the counter above that of a record that declares this daemon not alive.
 
-        A daemon that was frozen learns here that the others gave it up.
+        A daemon that was frozen learns here that others considered it failed.
         """
         own = self._records[self._own_instance]
         if record.state is MemberState.ALIVE or own.state is MemberState.LEFT:
@@ -166,12 +167,12 @@
             self._put(refuted)
             self._on_change(record)
 
-    def _put(self, record: MemberRecord, pass_on: bool = True) -> None:
+    def _put(self, record: MemberRecord, gossip: bool = True) -> None:
         self._records[record.instance] = record
         self._changed_at[record.instance] = self._clock.monotonic()
         self._digest = None
-        if pass_on:
+        if gossip:
             sends = _SENDS_FACTOR * max(1, len(self._records).bit_length())
-            self._news[record.instance] = _News(record, sends)
+            self._pending_updates[record.instance] = _PendingUpdate(record, sends)
         else:
-            self._news.pop(record.instance, None)
+            self._pending_updates.pop(record.instance, None)
--- a/packages/kitekeel-peers/src/kitekeel_peers/membership.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/membership.py
@@ -273,7 +273,7 @@
         except PeerError:
             return False
         self._hybrid_clock.observe(reply.stamp)
-        self.table.merge(reply.records, pass_on=False)
+        self.table.merge(reply.records, gossip=False)
         self._note_progress(address, reply.progress)
         return True
 
--- a/packages/kitekeel-peers/src/kitekeel_peers/neighbours.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/neighbours.py
@@ -1,7 +1,8 @@
-"""Whom a daemon probes: members at distances that are powers of two on a ring.
+"""Selects the members that a daemon probes: those at power-of-two distances on a hash ring.
 
-The ring orders the members by a hash of their instance. So each daemon keeps about log2(N) channels
-open, whatever N is, is probed by as many others, and news reaches all in about log2(N) hops.
+The ring orders the members by a hash of their instance. In a fleet of N daemons, each one keeps
+about log2(N) channels open, is probed by as many others, and an update reaches all daemons in about
+log2(N) hops.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 def neighbours(own: str, instances: Iterable[str]) -> list[str]:
-    """Return the instances at distances 1, 2, 4, ... after one's own on the ring.
+    """Return the instances at distances 1, 2, 4, ... after the own instance on the ring.
 
     Example:
         >>> sorted(neighbours("a", ["a", "b", "c"]))
--- a/packages/kitekeel-peers/src/kitekeel_peers/news_feed.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/news_feed.py
@@ -1,9 +1,9 @@
-"""Tells subscribed daemons of each change at once.
+"""Pushes each change of the view to subscribed daemons immediately.
 
-A daemon subscribes by asking for what it lacks (:mod:`kitekeel_peers.view_exchange`) and goes on
-asking, so a push that is lost is made up for by its next question. A push holds only what the
-subscriber does not know yet; one that knows too little for that waits for its next question, whose
-answer may be large.
+A daemon subscribes by requesting the changes it lacks (:mod:`kitekeel_peers.view_exchange`), and
+repeats this request regularly, which recovers lost pushes. A push contains only changes that the
+subscriber does not have. A subscriber that would need a snapshot gets it in reply to its next
+request instead, since it may be large.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 from kitekeel_steering.fleet_view import FleetView
 
 NEWS = "News"
-# Subscribers ask each of the two watchers of their zone every two seconds, 2.4 s at most; one that
-# has not for so long has gone or was told of other watchers.
-_SUBSCRIPTION_SECONDS = 4.0
+# A subscriber asks each of the two watchers of its zone every two seconds, 2.4 s at most. One that
+# has not asked for this time has stopped or uses other watchers.
+_SUBSCRIPTION_LIFE_SECONDS = 4.0
 _TIMEOUT_SECONDS = 0.6
-# A zone has some twenty daemons. Most answer within milliseconds; a few that are frozen or dead
-# each hold a thread for the timeout.
-_MOST_PUSHES_AT_ONCE = 8
+# A zone has about twenty daemons. Most answer within milliseconds; a frozen or dead one occupies a
+# thread until the timeout.
+_MAX_CONCURRENT_PUSHES = 8
 
 
 class NewsPush(msgspec.Struct, frozen=True, array_like=True):
-    """What the receiver lacks of each part, as far as the sender knows.
+    """The changes in each part that the receiver lacks, as far as the sender knows.
 
     Attributes:
         sender: the sender's peer address.
-        age_seconds: how long ago the sender's beliefs were known to be current.
+        age_seconds: time since the sender's view was known to be current.
     """
 
     sender: str
@@ -46,34 +46,35 @@
 
 
 class NewsReceipt(msgspec.Struct, frozen=True, array_like=True):
-    """What the receiver knows now."""
+    """The receiver's knowledge after it has applied a push."""
 
     known: tuple[PartKnowledge, ...]
 
 
 class _Subscriber(msgspec.Struct):
-    """A daemon that is told of changes.
+    """A daemon that changes are pushed to.
 
     Attributes:
-        known: how far it knows each part, as far as this daemon knows. A daemon of another version
-            may state more parts or fewer; those that both have are told.
-        asked_at: when it last asked.
-        is_being_told: whether a push is on its way.
+        known: its knowledge of each part, as far as this daemon knows. A daemon of another version
+            may have more or fewer parts; only common ones are pushed.
+        asked_at: time of its last request.
+        is_push_in_progress: whether a push to it is in progress.
     """
 
     known: tuple[PartKnowledge, ...]
     asked_at: float
-    is_being_told: bool = False
+    is_push_in_progress: bool = False
 
 
 class NewsFeed:
-    """Keeps the subscribers of one daemon and tells them of its view's changes.
+    """Manages the subscribers of one daemon and pushes changes of its view to them.
 
     Args:
         own_address: this daemon's peer address.
-        loop: the event loop, which alone touches the view.
-        on_news: called with the address of a daemon that told news, how many items, and its age.
-        on_failure: called with the address of a subscriber that could not be told, and why.
+        loop: the only event loop that accesses the view.
+        on_news: called for each received push with the sender's address, the number of items, and
+            the age of the sender's view.
+        on_failure: called with the address of a subscriber that did not answer, and the reason.
     """
 
     def __init__(
@@ -94,70 +95,70 @@
         self._on_news = on_news
         self._on_failure = on_failure
         self._subscribers: dict[str, _Subscriber] = {}
-        self._threads = ThreadPoolExecutor(_MOST_PUSHES_AT_ONCE, thread_name_prefix="push")
+        self._threads = ThreadPoolExecutor(_MAX_CONCURRENT_PUSHES, thread_name_prefix="push")
         self._tasks: set[asyncio.Task[None]] = set()
         self._is_closed = False
 
     def register(self, server: PeerServer) -> None:
-        """Serve the method by which this daemon is told."""
-        handler = on_event_loop(self._take_over, self._loop, _TIMEOUT_SECONDS)
+        """Register the RPC handler that receives pushes."""
+        handler = on_event_loop(self._handle_push, self._loop, _TIMEOUT_SECONDS)
         server.register(NEWS, NewsPush, handler)
 
     def subscribe(self, address: str, known: tuple[PartKnowledge, ...]) -> None:
-        """Tell a daemon of changes from now on, beyond what it knows."""
+        """Add or renew the subscription of a daemon that has the given knowledge."""
         if self._is_closed:
             return
         now = self._clock.monotonic()
         subscriber = self._subscribers.get(address)
         if subscriber is None:
-            self._forget_silent(now)
+            self._remove_expired(now)
             self._subscribers[address] = _Subscriber(known, now)
             return
         subscriber.known = known
         subscriber.asked_at = now
 
     def count(self) -> int:
-        """Return how many daemons are told of changes."""
-        self._forget_silent(self._clock.monotonic())
+        """Return the number of subscribers."""
+        self._remove_expired(self._clock.monotonic())
         return len(self._subscribers)
 
     def tell_all(self) -> None:
-        """Tell every subscriber what it lacks; called on the event loop after each change."""
-        self._forget_silent(self._clock.monotonic())
+        """Push missing changes to all subscribers; call on the event loop after each change."""
+        self._remove_expired(self._clock.monotonic())
         for address, subscriber in self._subscribers.items():
-            if not subscriber.is_being_told and self._lacking(subscriber):
-                subscriber.is_being_told = True
-                task = self._loop.create_task(self._tell(address, subscriber))
+            if not subscriber.is_push_in_progress and self._missing_news(subscriber):
+                subscriber.is_push_in_progress = True
+                task = self._loop.create_task(self._push(address, subscriber))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """Tell nobody any more."""
+        """Remove all subscribers and stop pushing."""
         self._is_closed = True
         self._subscribers.clear()
         self._threads.shutdown(wait=False, cancel_futures=True)
 
-    def _forget_silent(self, now: float) -> None:
-        silent = [
+    def _remove_expired(self, now: float) -> None:
+        expired = [
             address
             for address, each in self._subscribers.items()
-            if now - each.asked_at > _SUBSCRIPTION_SECONDS
+            if now - each.asked_at > _SUBSCRIPTION_LIFE_SECONDS
         ]
-        for address in silent:
+        for address in expired:
             del self._subscribers[address]
 
-    def _lacking(self, subscriber: _Subscriber) -> tuple[PartNews, ...]:
-        """Return the news for a subscriber, without parts that it must ask for as a whole."""
+    def _missing_news(self, subscriber: _Subscriber) -> tuple[PartNews, ...]:
+        """Return the changes for a subscriber, except parts for which it needs a snapshot."""
         found = (
             self._view.news_for(part, known)
             for part, known in zip(FleetPart, subscriber.known, strict=False)
         )
         return tuple(each for each in found if each.items and not each.is_snapshot)
 
-    async def _tell(self, address: str, subscriber: _Subscriber) -> None:
-        """Push until the subscriber has everything, or does not answer."""
+    async def _push(self, address: str, subscriber: _Subscriber) -> None:
+        """Push until the subscriber has all changes or does not answer."""
         try:
-            while parts := self._lacking(subscriber):
+            while parts := self._missing_news(subscriber):
                 push = NewsPush(self._own_address, parts, current_age(self._view))
                 receipt = await self._loop.run_in_executor(
                     self._threads,
@@ -168,16 +169,16 @@
                     NewsReceipt,
                     _TIMEOUT_SECONDS,
                 )
-                if not _knows_more(receipt.known, subscriber.known):
-                    # It lacks something from before, and asks for it by itself.
+                if not _has_advanced(receipt.known, subscriber.known):
+                    # It lacks earlier changes, which its next request will fetch.
                     return
                 subscriber.known = receipt.known
         except PeerError as error:
             self._on_failure(address, error.message)
         finally:
-            subscriber.is_being_told = False
+            subscriber.is_push_in_progress = False
 
-    async def _take_over(self, push: NewsPush) -> NewsReceipt:
+    async def _handle_push(self, push: NewsPush) -> NewsReceipt:
         for news in push.parts:
             self._view.take_over(news, f"peer {push.sender}")
         changes = sum(len(each.items) for each in push.parts)
@@ -185,6 +186,6 @@
         return NewsReceipt(tuple(self._view.knowledge(part) for part in FleetPart))
 
 
-def _knows_more(now: tuple[PartKnowledge, ...], before: tuple[PartKnowledge, ...]) -> bool:
+def _has_advanced(now: tuple[PartKnowledge, ...], before: tuple[PartKnowledge, ...]) -> bool:
     pairs = zip(now, before, strict=False)
     return any(each.extent.last_change > former.extent.last_change for each, former in pairs)
--- a/packages/kitekeel-peers/src/kitekeel_peers/news_subscription.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/news_subscription.py
@@ -1,7 +1,7 @@
 """Keeps a daemon subscribed to the watchers of its zone while it does not watch the store itself.
 
-It asks them in turn for what it lacks. That renews the subscription, makes up for a lost push, and
-shows that no news means no change.
+It regularly requests missing changes from them in turn. This renews the subscription, recovers lost
+pushes, and confirms that the view is current when nothing has changed.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 from kitekeel_steering.errors import PeerError
 from kitekeel_steering.interruptible_sleep import InterruptibleSleep
 
-# A daemon that cannot yet steer requests asks more often.
+# Applies while the daemon does not yet know enough to route requests.
 _INTERVAL_UNTIL_READY_SECONDS = 0.1
-# The two watchers of a zone are asked in turn, so a lost push is made up for within 1.2 s, and a
-# watcher that has died costs at most its time-out more. Every daemon that does not watch asks.
+# The two watchers of a zone are asked in turn, so a lost push is recovered within 1.2 s, plus one
+# timeout if a watcher has died. Every daemon that does not watch sends these requests.
 _INTERVAL_SECONDS = 1.0
 _JITTER_SHARE = 0.2
 
 
 class NewsSubscription:
-    """The task that asks.
+    """Sends the requests that keep this daemon subscribed.
 
     Args:
         own_address: this daemon's peer address.
-        is_needed: tells whether this daemon is to hear from others at present.
-        is_ready: tells whether it knows enough to steer requests.
-        fresh_seconds: age up to which another's beliefs are fresh.
-        on_news: called with the address of a daemon that answered, how many items it told, and the
-            age of its beliefs in seconds.
-        on_failure: called with the address of a daemon that did not answer, and why.
+        is_needed: returns whether this daemon currently needs a subscription.
+        is_ready: returns whether it knows enough to route requests.
+        fresh_seconds: maximum age at which another daemon's view counts as fresh.
+        on_news: called with the address of a daemon that answered, the number of items received,
+            and the age of its view in seconds.
+        on_failure: called with the address of a daemon that did not answer, and the reason.
     """
 
     def __init__(
@@ -59,11 +59,11 @@
         self._pause = InterruptibleSleep()
 
     def ask_soon(self) -> None:
-        """Ask without waiting for the interval's end."""
+        """Send the next request without waiting for the end of the interval."""
         self._pause.end()
 
     async def run(self) -> None:
-        """Ask whenever that is needed, until cancelled; another one at once after a failure."""
+        """Send requests while needed, until cancelled; after a failure, retry immediately."""
         while True:
             is_answered = not self._is_needed() or await self._ask_next()
             if is_answered:
@@ -73,7 +73,7 @@
                 await self._pause.sleep(interval * jitter)
 
     async def _ask_next(self) -> bool:
-        """Ask one watcher; return false where another is to be asked at once."""
+        """Ask one watcher; return false if another one should be asked immediately."""
         address = self._choice.next_source()
         if address is None:
             return True
--- a/packages/kitekeel-peers/src/kitekeel_peers/object_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/object_exchange.py
@@ -1,4 +1,4 @@
-"""Lets daemons compare which objects they are asked for; see ``object_overlap``."""
+"""Lets daemons compare samples of their requested objects; see ``object_overlap``."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
 from kitekeel_steering.object_overlap import ObjectOverlap, ObjectSample
 
 OBJECTS = "Objects"
-# 0.1 KB a second, of the 2 KB that a daemon may spend on control.
+# Uses 0.1 KB/s of the 2 KB/s that a daemon may spend on control traffic.
 _INTERVAL_SECONDS = 2.0
-# Daemons that started together do not stay in step.
+# Desynchronizes daemons that started at the same time.
 _JITTER_SHARE = 0.2
-# The longest way there and back takes 0.12 s; a busy daemon may take some tenths more.
+# The longest round trip takes 0.12 s; a busy daemon may need a few tenths of a second more.
 _TIMEOUT_SECONDS = 1.0
 
 
 class ObjectsRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Tells what the sender was asked for lately, and asks for the same."""
+    """Sends the sender's recently requested objects, and requests the receiver's."""
 
     region: str
     samples: tuple[ObjectSample, ...]
 
 
 class ObjectsReply(msgspec.Struct, frozen=True, array_like=True):
-    """What the asked daemon was asked for lately."""
+    """The responder's recently requested objects."""
 
     samples: tuple[ObjectSample, ...]
 
 
 class ObjectExchange:
-    """Compares with another daemon in turn.
+    """Compares samples with a random neighbour at regular intervals.
 
     Args:
-        overlap: what is compared; touched by the event loop alone.
-        own_region: where this daemon is.
+        overlap: the samples to compare; accessed only on the event loop.
+        own_region: this daemon's region.
         loop: the event loop.
         on_failure: called with the address of a daemon that did not answer, the time waited in
-            seconds, and why; the next comparison is with another one.
+            seconds, and the reason; the next comparison selects a neighbour anew.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self._random = generator
 
     def register(self, server: PeerServer) -> None:
-        """Serve the method."""
+        """Register the RPC handler."""
         handler = on_event_loop(self._reply, self._loop, _TIMEOUT_SECONDS)
         server.register(OBJECTS, ObjectsRequest, handler)
 
@@ -78,10 +78,10 @@
         while True:
             jitter = self._random.uniform(1.0 - _JITTER_SHARE, 1.0 + _JITTER_SHARE)
             await asyncio.sleep(_INTERVAL_SECONDS * jitter)
-            await self._compare_with_a_neighbour()
+            await self._compare_with_neighbour()
 
-    async def _compare_with_a_neighbour(self) -> None:
-        """Compare with one of the daemons that this one probes, so that no connection is added."""
+    async def _compare_with_neighbour(self) -> None:
+        """Compare with one of the daemons that this one probes, to reuse its connection."""
         live = {each.instance: each for each in self._table.live()}
         names = neighbours(self._table.own().instance, live)
         if names:
--- a/packages/kitekeel-peers/src/kitekeel_peers/quota_keepers.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/quota_keepers.py
@@ -1,9 +1,9 @@
-"""Which daemon of a region keeps the tokens of a group of tenants.
+"""Selects the daemon of a region that keeps the tokens of a group of tenants.
 
-The choice follows from the member table alone. Daemons whose tables differ may choose different
-ones for a while: tokens are then spread over two pools, and none comes into being twice. Daemons
-that do not serve yet may be chosen: after the loss of all daemons the choice would else change with
-each one that begins to serve, and leave its tokens behind.
+The selection depends only on the member table. Daemons whose tables differ may temporarily select
+different keepers: tokens are then split between two pools, but none is created twice. Daemons that
+do not serve yet may be selected as well. Otherwise, after a restart of all daemons, the selection
+would change with each one that begins to serve, and the former keeper's tokens would be lost.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from kitekeel_steering.clock import Clock
 from kitekeel_steering.rendezvous import rank_nodes
 
-# Spreads the calls for tokens over as many daemons of each region.
+# Number of daemons in each region that the calls for tokens are distributed over.
 GROUPS = 2
-# Until the member table has noticed that a daemon is gone.
-_SILENT_SECONDS = 5.0
+# Covers the time until the member table has noticed that a daemon failed.
+_UNRESPONSIVE_SECONDS = 5.0
 
 
 def group_of(tenant: str, groups: int = GROUPS) -> int:
@@ -28,7 +28,7 @@
 
 
 class QuotaKeepers:
-    """The choice as one daemon makes it; used by the event loop alone.
+    """The keeper selection of one daemon; used on the event loop and on the threads of quota calls.
 
     Args:
         own: returns this daemon's record.
@@ -47,15 +47,15 @@
         self._own = own
         self._members = members
         self._clock = clock
-        self._silent_until: dict[str, float] = {}
+        self._unresponsive_until: dict[str, float] = {}
 
     def own_address(self) -> str:
         """Return this daemon's peer address."""
         return self._own().peer_address
 
     def of_own_region(self, group: int) -> str:
-        """Return the keeper's peer address; this daemon's own where there is no other."""
-        found = self._choose(group, self._own().region)
+        """Return the peer address of the own region's keeper; this daemon's if none is found."""
+        found = self._select(group, self._own().region)
         return found if found is not None else self.own_address()
 
     def own_region(self) -> str:
@@ -64,20 +64,20 @@
 
     def of_region(self, group: int, region: str) -> str | None:
         """Return the peer address of a region's keeper, or ``None`` if the region has no daemon."""
-        return self._choose(group, region)
+        return self._select(group, region)
 
     def of_other_regions(self, group: int) -> list[str]:
         """Return the peer addresses of the keepers of all other regions."""
         own_region = self._own().region
         regions = sorted({each.region for each in self._members()} - {own_region})
-        found = [self._choose(group, region) for region in regions]
+        found = [self._select(group, region) for region in regions]
         return [each for each in found if each is not None]
 
     def note_failure(self, address: str) -> None:
-        """Note that a keeper did not answer, so that another one is asked for a while."""
-        self._silent_until[address] = self._clock.monotonic() + _SILENT_SECONDS
+        """Record that a keeper did not answer, so that another one is used for some time."""
+        self._unresponsive_until[address] = self._clock.monotonic() + _UNRESPONSIVE_SECONDS
 
-    def _choose(self, group: int, region: str) -> str | None:
+    def _select(self, group: int, region: str) -> str | None:
         now = self._clock.monotonic()
         candidates = {
             each.instance: each.peer_address
@@ -85,7 +85,7 @@
             if each.region == region
             and each.state is MemberState.ALIVE
             and each.phase is not MemberPhase.LEAVING
-            and self._silent_until.get(each.peer_address, 0.0) <= now
+            and self._unresponsive_until.get(each.peer_address, 0.0) <= now
         }
         ranked = rank_nodes(f"{self._key_prefix}/{group}", candidates)
         return candidates[ranked[0]] if ranked else None
--- a/packages/kitekeel-peers/src/kitekeel_peers/quota_messages.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/quota_messages.py
@@ -13,11 +13,11 @@
 
 
 class QuotaWant(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens of one limit that a daemon asks for, or gives back where they are negative.
+    """Tokens of one limit that a daemon requests, or returns if the number is negative.
 
     Attributes:
-        shares: the tenant's, by the sender's configuration; used where the keeper's own does not
-            name the tenant yet.
+        shares: the tenant's shares in the sender's configuration; used if the keeper's own
+            configuration does not contain the tenant yet.
     """
 
     tenant: str
@@ -26,14 +26,14 @@
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Lends seconds to the keeper of a group of tenants, and asks for tokens.
+    """Lends time to the keeper of a group of tenants, and requests tokens.
 
     Attributes:
         sender: peer address of the daemon.
         seconds: time since its last loan; 0 from another keeper, which lends nothing.
-        daemons: how many daemons share the limits by the sender's count.
-        is_keeper: whether the tokens go to or come from the pool of another region.
-        lenders: how many daemons lend to the keeper that forwards these tokens; 0 if none are
+        daemons: number of daemons that share the limits, as counted by the sender.
+        is_keeper: whether the tokens go to or come from the pool of another keeper.
+        lenders: number of daemons that lend to the keeper that forwards these tokens; 0 if none are
             forwarded.
     """
 
@@ -47,13 +47,13 @@
 
 
 class QuotaGrant(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens of one tenant that are the asker's from now on."""
+    """Tokens of one tenant that are transferred to the requester."""
 
     tenant: str
     tokens: int
 
 
 class QuotaReply(msgspec.Struct, frozen=True, array_like=True):
-    """What there was of the wanted tokens; tenants without any are left out."""
+    """The granted tokens; tenants without any are omitted."""
 
     grants: tuple[QuotaGrant, ...]
--- a/tests/test_quota_exchange.py
+++ b/tests/test_quota_exchange.py
@@ -141,7 +141,7 @@
         """Let some daemons think that these keepers do not answer."""
         for name in instances:
             for address in keepers:
-                self.exchanges[name]._keepers._silent_until[address] = steady_seconds() + 60.0
+                self.exchanges[name]._keepers._unresponsive_until[address] = steady_seconds() + 60.0
 
     def keepers_of(self, region: str) -> set[str]:
         exchange = next(
