--- a/packages/kitekeel-peers/src/kitekeel_peers/member_table.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/member_table.py
@@ -103,7 +103,7 @@
         self._on_change(record)
         return True
 
-    def take_news(self) -> tuple[MemberRecord, ...]:
+    def take_updates(self) -> tuple[MemberRecord, ...]:
         """Return the records to gossip with the next message, those with most sends left first."""
         with self._lock:
             chosen = sorted(self._pending_updates.values(), key=lambda each: -each.sends_left)
--- a/packages/kitekeel-peers/src/kitekeel_peers/membership.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/membership.py
@@ -202,7 +202,7 @@
         request = ProbeRequest(
             sender=self.table.own().instance,
             stamp=self._hybrid_clock.tick(),
-            updates=(*extra_updates, *self.table.take_news()),
+            updates=(*extra_updates, *self.table.take_updates()),
             progress=self._progress(),
             digest=self.table.digest(),
             target=target,
@@ -287,7 +287,7 @@
         return ProbeReply(
             instance=self.table.own().instance,
             stamp=self._hybrid_clock.tick(),
-            updates=(*self.table.take_news(), *self._refutable_record(sender)),
+            updates=(*self.table.take_updates(), *self._refutable_record(sender)),
             progress=self._progress(),
             digest=self.table.digest(),
             reached=reached,
--- a/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
@@ -202,7 +202,7 @@
             self._return(tenant, shares, left_over)
 
     def is_alone(self) -> bool:
-        """Return whether no keeper of a group answers, so that the daemon uses only own tokens."""
+        """Return whether any group has no responsive keeper and uses only locally earned tokens."""
         return any(each.is_alone for each in self._groups)
 
     def _return(self, tenant: str, shares: QuotaShares, tokens: int) -> None:
--- a/tests/test_message_stamps.py
+++ b/tests/test_message_stamps.py
@@ -67,7 +67,7 @@
     )
     table.merge([broken])
     assert {each.instance: each for each in table.all()} == before
-    assert msgspec.msgpack.encode(table.take_news())
+    assert msgspec.msgpack.encode(table.take_updates())
 
 
 def test_a_daemon_still_refutes_what_others_believe_of_it() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -60,7 +60,7 @@
     table.merge([member("own", 4, MemberState.DEAD)])
     assert table.own().state is MemberState.ALIVE
     assert table.own().counter == 5
-    assert table.own() in table.take_news()
+    assert table.own() in table.take_updates()
 
 
 @given(st.integers(2, 300))
