--- a/packages/kitekeel-steering/src/kitekeel_steering/crash_ledger.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/crash_ledger.py
@@ -120,7 +120,7 @@
         return tuple(each for each in self.records() if each.identity in self._quarantined)
 
     def digest(self) -> int:
-        """Return a hash of all records, equal on daemons with equal records; 0 if there are none."""
+        """Return a hash of all records, equal on daemons with equal records; 0 if none exist."""
         value = 0
         for each in self.records():
             value ^= xxhash.xxh64_intdigest(msgspec.msgpack.encode(each))
@@ -128,8 +128,8 @@
 
     def is_old(self, record: CrashRecord) -> bool:
         """Return whether the record has expired, counted from its last end."""
-        is_accused = may_be_cause(record)
-        life = _QUARANTINE_LIFE_SECONDS if is_accused else _SUSPECT_LIFE_SECONDS
+        is_candidate = may_be_cause(record)
+        life = _QUARANTINE_LIFE_SECONDS if is_candidate else _SUSPECT_LIFE_SECONDS
         return self._clock.wall() - record.last_end_at > life
 
     def note_end(self, identity: str, service: str, process: str, version: str) -> None:
@@ -167,7 +167,7 @@
         self._merge_records(records, source)
 
     def _merge_records(self, records: Iterable[CrashRecord], source: str) -> None:
-        grown: list[CrashRecord] = []
+        updated: list[CrashRecord] = []
         latest = self._clock.wall() + _MAX_AHEAD_SECONDS
         for each in records:
             known = self._records.get(each.identity)
@@ -175,17 +175,17 @@
             if merged == known or self.is_old(merged) or merged.last_end_at > latest:
                 continue
             self._store(merged)
-            grown.append(merged)
-        if not grown:
+            updated.append(merged)
+        if not updated:
             return
         former = self._quarantined
         self._evict_excess()
         self._update_quarantined()
-        verdicts = (self._quarantined, former)
-        changed = {each.identity for each in grown} | (former ^ self._quarantined)
+        states = (self._quarantined, former)
+        changed = {each.identity for each in updated} | (former ^ self._quarantined)
         for identity in sorted(changed & self._records.keys()):
             record = self._records[identity]
-            is_quarantined, was_quarantined = (identity in each for each in verdicts)
+            is_quarantined, was_quarantined = (identity in each for each in states)
             self._on_change(LedgerChange(record, is_quarantined, was_quarantined, source))
 
     def _store(self, record: CrashRecord) -> None:
--- a/packages/kitekeel-steering/src/kitekeel_steering/crash_verdicts.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/crash_verdicts.py
@@ -35,10 +35,10 @@
 
 def find_causes(records: Collection[CrashRecord]) -> frozenset[str]:
     """Return the identities of the requests to quarantine as the causes of the ends."""
-    accused = [each for each in records if may_be_cause(each)]
-    accused.sort(key=lambda each: (-len(each.ends), each.identity))
-    unanswered = [each for each in accused if not each.was_answered]
-    answered = [each for each in accused if each.was_answered]
+    candidates = [each for each in records if may_be_cause(each)]
+    candidates.sort(key=lambda each: (-len(each.ends), each.identity))
+    unanswered = [each for each in candidates if not each.was_answered]
+    answered = [each for each in candidates if each.was_answered]
     explained: set[str] = set()
     causes = _select_causes(unanswered, explained, _MIN_UNEXPLAINED_ENDS)
     if answered:
@@ -48,11 +48,11 @@
 
 
 def _select_causes(
-    accused: list[CrashRecord], explained: set[str], min_unexplained_ends: int
+    candidates: list[CrashRecord], explained: set[str], min_unexplained_ends: int
 ) -> list[CrashRecord]:
     """Return the requests with enough unexplained ends and add their ends to ``explained``."""
     causes: list[CrashRecord] = []
-    for each in accused:
+    for each in candidates:
         if len(set(each.ends) - explained) >= min_unexplained_ends:
             causes.append(each)
             explained.update(each.ends)
--- a/packages/kitekeel-steering/src/kitekeel_steering/ini.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/ini.py
@@ -123,9 +123,9 @@
         A template leaves an option empty if the deployment does not set its value. Reading it as 0
         would time out every request at once or cause a division by zero.
         """
-        return self.text(option, default) or self._text_of_absent(option, default)
+        return self.text(option, default) or self._default_text(option, default)
 
-    def _text_of_absent(self, option: str, default: str | None) -> str:
+    def _default_text(self, option: str, default: str | None) -> str:
         if default is None and option in self._values:
             self.note(option, "missing-value", f"'{option}' is empty", "a value")
         return default or ""
