--- a/packages/kitekeel-steering/src/kitekeel_steering/crash_ledger.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/crash_ledger.py
@@ -3,8 +3,9 @@
 See :mod:`kitekeel_steering.crash_verdicts` for the quarantine rules.
 
 Daemons exchange records and converge to the same state: merging records in any order, or more than
-once, gives the same result. A record that one daemon removed as expired is not restored by another,
-since its age is counted from the last end, which is part of the record.
+once, gives the same result, because a record only grows, first by its epoch and, within an epoch,
+by its ends. A record that one daemon removed as expired is not restored by another, since its age
+is counted from the last end, which is part of the record.
 """
 
 from __future__ import annotations
