--- a/packages/kitekeel-daemon/src/kitekeel_daemon/__main__.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/__main__.py
@@ -2,7 +2,8 @@
 
 from kitekeel_daemon.start_signals import hold_signals
 
-# Loading the modules below takes most of the start; a stop signal must not end it meanwhile.
+# Importing the modules below takes most of the startup time. A stop signal must not kill
+# the process during it.
 hold_signals()
 
 from kitekeel_daemon.main import main  # noqa: E402
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/daemon.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""Wires the parts of one daemon together and starts their threads."""
+"""Builds the components of one daemon, connects them, and starts their threads."""
 
 from __future__ import annotations
 
@@ -56,16 +56,17 @@
 _KEEPER_REVIEW_SECONDS = 0.5
 _BUDGET_BURST_SECONDS = 5.0
 _OPERATOR_THREADS = 6
-# Part of the callers' threads on which requests may wait; the others run requests and look-ups.
-_WAITING_SHARE = 0.8
+# Fraction of the caller threads that may be occupied by waiting requests. The remaining threads
+# serve running requests and look-ups.
+_MAX_WAITING_SHARE = 0.8
 _OPERATOR_LIMITS = ServerLimits(threads=_OPERATOR_THREADS, queued_connections=32)
 
 
 class Daemon:
-    """One kitekeel daemon.
+    """One kitekeel daemon: its components, servers and background threads.
 
     Args:
-        settings: checked settings.
+        settings: validated settings.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -87,7 +88,7 @@
         self._make_operators()
 
     def start(self) -> None:
-        """Listen, join the other daemons, learn the configuration, and start all loops."""
+        """Join the cluster, load the configuration, and start the servers and background loops."""
         self.peer_server.start()
         self._platform_follower.load_machines()
         self.membership.join()
@@ -96,13 +97,14 @@
             self._start_loop(loop)
         self.operator_server.start()
         self.caller_server.start()
-        # Only now may look-ups name this daemon: its callers' port listens.
+        # Look-ups may list this daemon only from here on: its caller port is now listening.
         self.membership.announce_phase(MemberPhase.SERVING)
         self.recorder.add("daemon-started", f"{self.settings.daemon.region} {self.instance}")
 
     def stop_loops(self) -> None:
-        """End all loops and servers."""
-        # Requests that arrived last still need what the loops exchange, such as slots.
+        """Stop all servers and background loops."""
+        # The caller server stops first: its last requests still need the loops, for example to get
+        # slots.
         self.caller_server.stop()
         self._stop_loops.set()
         self.operator_server.stop()
@@ -164,9 +166,9 @@
         region = self.settings.daemon.region
         self._identity = HolderIdentity(self.instance, region, self.settings.daemon.place)
         self.exchanges = PoolExchanges(region, self._make_exchanges, self._is_pool_idle)
-        most_waiting = int(self.settings.callers.threads * _WAITING_SHARE)
+        max_waiting = int(self.settings.callers.threads * _MAX_WAITING_SHARE)
         self.admissions = Admissions(
-            self._identity, self._clock, self._timing, most_waiting, self.exchanges.ask
+            self._identity, self._clock, self._timing, max_waiting, self.exchanges.ask
         )
 
     def _make_callers(self) -> None:
@@ -255,7 +257,7 @@
         threading.Thread(target=loop, args=(self._stop_loops,), name=name, daemon=True).start()
 
     def _load_configuration(self) -> None:
-        """Take the later of what the peers and what the platform have."""
+        """Adopt the newest configuration known to the peers or the platform."""
         while not self._pulls.empty():
             self.spread.pull(self._pulls.get())
         self._platform_follower.load_configuration()
@@ -278,7 +280,7 @@
         return [*self.settings.peers.seeds, *self._platform_follower.daemon_addresses()]
 
     def _is_zone_watcher(self) -> bool:
-        """Tell whether this daemon is among the few of its zone that follow the platform."""
+        """Return whether this daemon is one of its zone's few that watch the platform."""
         zone = self.settings.daemon.zone
         members = self.membership.live_in_region(self.settings.daemon.region)
         instances = [each.instance for each in members if each.zone == zone]
@@ -319,7 +321,7 @@
         return [ProbeTarget(each.name, each.address) for each in self.keeper.kept_back_ends()]
 
     def _run_pulls(self, stop: threading.Event) -> None:
-        """Fetch later configurations that heartbeats tell of, one at a time."""
+        """Fetch newer configurations announced by heartbeats, one at a time."""
         while not stop.is_set():
             try:
                 self.spread.pull(self._pulls.get(timeout=_KEEPER_REVIEW_SECONDS))
@@ -331,7 +333,10 @@
             self.keeper.review(self._best_keeper, self.instance)
 
     def _best_keeper(self, pool: PoolName) -> str | None:
-        """Return who should keep a pool, leaving out members that have just appeared."""
+        """Return the instance that should be a pool's keeper.
+
+        Other members that changed state only recently are not considered.
+        """
         members = self.membership.live_in_region(pool.region)
         settled = [
             each
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/departures.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/departures.py
@@ -1,8 +1,8 @@
-"""Measures how long after the news that a back end leaves this daemon still sends to it.
+"""Measures how long this daemon still sends to a back end after it was reported to be leaving.
 
-A leaving back end must get no new work after a few seconds. The news passes through several stages
-that each take time: the wait for more changes, a hold of removals that look like lapses, and the
-bytes of a request that was already on its way.
+A leaving back end must get no new work after a few seconds. Several stages add to the delay: the
+wait for further changes, the delay of removals that look like lapsed records, and the remaining
+bytes of a request that is already being sent.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from kitekeel_steering.fleet_items import ItemKind
 from kitekeel_steering.fleet_view import ViewChange
 
-# Departures older than the last so many have no requests under way any more.
-_MOST_DEPARTURES = 1_000
+# Number of recent departures remembered; older ones have no requests in flight any more.
+_MAX_DEPARTURES = 1_000
 
 
 class Departures:
-    """The back ends that have left lately, and when the news of each came in.
+    """Tracks the back ends that left recently, and when this daemon received the report of each.
 
     Args:
-        metrics: takes the times.
+        metrics: records the measured times.
     """
 
     def __init__(self, metrics: GatewayMetrics) -> None:
@@ -30,7 +30,7 @@
         self._heard_at: OrderedDict[str, float] = OrderedDict()
 
     def on_change(self, change: ViewChange) -> None:
-        """Follow a change of the view."""
+        """Record a departure, or forget it if the back end has restarted."""
         item = change.item
         if item.kind is not ItemKind.BACK_END:
             return
@@ -41,11 +41,11 @@
             return
         self._heard_at[item.name] = change.heard_at
         self._metrics.note_departure("believed", steady_seconds() - change.heard_at)
-        if len(self._heard_at) > _MOST_DEPARTURES:
+        if len(self._heard_at) > _MAX_DEPARTURES:
             self._heard_at.popitem(last=False)
 
     def note_written(self, instance: str, written_at: float) -> None:
-        """Note when the last byte of a request to a back end left."""
+        """Record when the last byte of a request to a back end was sent."""
         heard_at = self._heard_at.get(instance)
         if heard_at is not None and written_at > heard_at:
             self._metrics.note_departure("last-byte", written_at - heard_at)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/event_recorder.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/event_recorder.py
@@ -1,4 +1,4 @@
-"""Records changes of state: in the daemon's event log, and as lines of the eliot log."""
+"""Records state changes in the daemon's event log and in the eliot log."""
 
 from __future__ import annotations
 
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_follower.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_follower.py
@@ -1,7 +1,7 @@
-"""Keeps a gateway's fleet view in step with the store and the other daemons, and tells how.
+"""Keeps a gateway's fleet view synchronised with the store and the other daemons, and logs it.
 
-The parts that follow the store and compare with other daemons know nothing of each other; here the
-findings of one become the reactions of the others.
+Store synchronisation and the exchange with other daemons are independent components. This module
+connects them: what one of them detects triggers actions in the others.
 """
 
 from __future__ import annotations
@@ -36,25 +36,27 @@
     StoreWatched,
 )
 
-# How soon a daemon takes up or gives up watching. A change of the member table is seconds old by
-# the time it arrives, so a finer figure would gain nothing.
-_DUTY_SECONDS = 0.1
-# Documents whose finding was told; as many as half of the records of the largest fleet known.
-_MOST_TOLD_FINDINGS = 500
-# A whole read takes some tenths of a second, 0.9 s at most seen on a slow link.
-_STORE_FIRST_SECONDS = 1.0
-# The longest way to the store and back takes 0.12 s.
-_ANSWER_SECONDS = 0.15
+# How often a daemon reviews whether it must watch the store. Changes of the member table are
+# already seconds old when they arrive, so a shorter interval would gain nothing.
+_WATCH_REVIEW_SECONDS = 0.1
+# Number of findings remembered so that each is logged once: half of the records of the largest
+# known fleet.
+_MAX_LOGGED_FINDINGS = 500
+# How long a starting watcher waits for the store before it asks other daemons. A full read takes a
+# few tenths of a second, and at most 0.9 s was seen on a slow link.
+_STORE_WAIT_SECONDS = 1.0
+# Time allowed for a store round trip; the longest takes 0.12 s.
+_STORE_ROUND_TRIP_SECONDS = 0.15
 
 
 class FleetRole(msgspec.Struct, frozen=True):
-    """A daemon's part among those that follow the store.
+    """A daemon's role among those that share the watching of the store.
 
     Attributes:
-        is_watcher: tells whether it is among those that watch the store for the others.
-        is_alone: tells whether it knows no other daemon.
-        watchers: tells how many daemons watch.
-        all_start: whether all daemons start together, before any callers come.
+        is_watcher: returns whether it is among those that watch the store for the others.
+        is_alone: returns whether it knows no other daemon.
+        watchers: returns how many daemons watch the store.
+        all_start: whether all daemons start together, before any callers send requests.
     """
 
     is_watcher: Callable[[], bool]
@@ -64,13 +66,13 @@
 
 
 class FleetFollower:
-    """Follows the store by watches where that is this daemon's part, and else hears from others.
+    """Updates the view by store watches if this daemon is a watcher, and otherwise from peers.
 
     Args:
         store: the platform's store.
-        view: what is kept in step.
+        view: the fleet view to keep current.
         record_heartbeat_seconds: time between two renewals of a back end's record.
-        role: this daemon's part.
+        role: this daemon's role.
     """
 
     def __init__(
@@ -84,16 +86,16 @@
         log: DecisionLog,
     ) -> None:
         self._clock = clock
-        self._store_first_until = clock.monotonic() + _STORE_FIRST_SECONDS
+        self._wait_for_store_until = clock.monotonic() + _STORE_WAIT_SECONDS
         self._view = view
         self._role = role
         self._metrics = metrics
         self._log = log
         generator = random.Random()
-        self._told_findings: OrderedDict[str, int] = OrderedDict()
-        self._duty = WatchDuty(clock, generator, role.all_start)
+        self._logged_findings: OrderedDict[str, int] = OrderedDict()
+        self._watch_duty = WatchDuty(clock, generator, role.all_start)
         self._is_watching = False
-        self._confirms_from = float("-inf")
+        self._ignore_probes_until = float("-inf")
         self._contact = contact = StoreContact(clock, record_heartbeat_seconds)
         self._probe = StoreProbe(store, self._on_probe_answer, self._on_probed, generator, contact)
         listeners = SyncListeners(
@@ -111,47 +113,48 @@
     def loops(self) -> list[Coroutine[None, None, None]]:
         """Return the loops to run until the daemon stops."""
         syncs = [each.run() for each in self._syncs.values()]
-        return [self._do_duty(), self._probe.run(), *syncs]
+        return [self._run_watch_duty(), self._probe.run(), *syncs]
 
     @property
     def is_watching(self) -> bool:
-        """Tell whether this daemon asks the store itself at present."""
+        """Return whether this daemon currently watches the store itself."""
         return self._is_watching
 
-    def must_hear_others(self) -> bool:
-        """Tell whether this daemon is to ask others for news.
+    def needs_peer_news(self) -> bool:
+        """Return whether this daemon must ask other daemons for changes.
 
-        A watcher starts from the store as long as that answers soon, so that it does not pass on
-        what another one may have missed.
+        A starting watcher gives the store time to answer first, so that it does not pass on a view
+        from which another daemon may have missed changes.
         """
         if not self._role.is_watcher():
             return True
-        return not self._view.is_ready() and self._clock.monotonic() >= self._store_first_until
+        return not self._view.is_ready() and self._clock.monotonic() >= self._wait_for_store_until
 
     def on_peer_news(self, address: str, changes: int, age_seconds: float | None) -> None:
-        """Note that another daemon told its news, how many items, and how old it is."""
-        self._duty.note_news(age_seconds)
+        """Note that a peer sent its changes, how many items they had, and how old its view is."""
+        self._watch_duty.note_news(age_seconds)
         if age_seconds is not None:
             self._view.confirm(age_seconds)
             if age_seconds <= FRESH_SECONDS:
-                # The store answers the daemon that told.
+                # So fresh a view shows that the store answers this peer.
                 self._contact.note_answer()
         if changes:
             self._metrics.increment("peers.news", changes)
             self._log.state(PeerAnswered(address, changes, 0.0))
 
     def on_peer_silent(self, address: str, reason: str) -> None:
-        """Note that a daemon of which news was expected did not answer, or could not be told."""
+        """Note that a peer did not answer a request for changes, or could not be sent any."""
         self._metrics.increment("peers.news-failed")
         self._log.state(PeerAnswered(address, 0, 0.0, reason))
 
     def exchange_listeners(
         self, on_subscriber: Callable[[str, tuple[PartKnowledge, ...]], None]
     ) -> ExchangeListeners:
-        """Return what the exchange with other daemons asks and tells.
+        """Return the callbacks for the exchange with other daemons.
 
         Args:
-            on_subscriber: called with a daemon that wants to be told of changes, and what it knows.
+            on_subscriber: called with the address of a daemon that subscribes to changes, and with
+                what it already knows.
         """
         return ExchangeListeners(
             on_subscriber,
@@ -161,28 +164,28 @@
         )
 
     def check_anew(self, paused_seconds: float) -> None:
-        """Ask the store anew after this process did not run, as its watches may lead nowhere.
+        """Restart the store watches after this process was paused, as the old ones may be dead.
 
-        The probe that then shows the beliefs to be current comes after the watches, which are
-        answered at once where anything has changed.
+        The probe that confirms the view is sent after the watches, because a watch is answered at
+        once if anything has changed.
         """
         self._contact.note_own_pause(paused_seconds)
         for each in self._syncs.values():
             each.restart()
-        self._confirms_from = self._clock.monotonic() + _ANSWER_SECONDS
-        asyncio.get_running_loop().call_later(_ANSWER_SECONDS, self._probe.ask_soon)
+        self._ignore_probes_until = self._clock.monotonic() + _STORE_ROUND_TRIP_SECONDS
+        asyncio.get_running_loop().call_later(_STORE_ROUND_TRIP_SECONDS, self._probe.ask_soon)
 
     def on_dependency(self, name: str, is_up: bool, reason: str) -> None:
-        """Tell that something this daemon depends on is lost, and why, or is regained."""
+        """Log that a dependency of this daemon was lost, and why, or is available again."""
         age = round(self._view.age_seconds(), 2)
         lost = DependencyLost(name, reason, age)
         self._log.state(DependencyRegained(name, age) if is_up else lost)
 
-    async def _do_duty(self) -> None:
-        """Watch the store whenever that is this daemon's part or nobody else's news is fresh."""
+    async def _run_watch_duty(self) -> None:
+        """Watch the store while this daemon is a watcher or no peer has fresh news."""
         while True:
             is_watcher = self._role.is_watcher()
-            must_watch = self._duty.must_watch(is_watcher, self._role.is_alone())
+            must_watch = self._watch_duty.must_watch(is_watcher, self._role.is_alone())
             if must_watch != self._is_watching:
                 self._is_watching = must_watch
                 self._metrics.increment("store.watch-begun" if must_watch else "store.watch-ended")
@@ -191,11 +194,11 @@
                 self._probe.follow(must_watch)
                 for each in self._syncs.values():
                     each.follow(must_watch)
-            await asyncio.sleep(_DUTY_SECONDS)
+            await asyncio.sleep(_WATCH_REVIEW_SECONDS)
 
     def _on_probe_answer(self) -> None:
-        """Take the beliefs for current where the store would have told any change."""
-        if self._clock.monotonic() < self._confirms_from:
+        """Mark the view as current if the watches would have reported any change."""
+        if self._clock.monotonic() < self._ignore_probes_until:
             return
         if all(each.is_watching for each in self._syncs.values()):
             self._view.confirm()
@@ -207,13 +210,16 @@
                 each.restart()
 
     def on_finding(self, finding: DocumentFinding) -> None:
-        """Count a document that could not be read, and tell each once; a read finds it again."""
+        """Count a document that could not be read, and log each revision of it once.
+
+        Every read of the store finds the same document again.
+        """
         self._metrics.increment("store.findings")
-        if self._told_findings.get(finding.key) == finding.revision:
+        if self._logged_findings.get(finding.key) == finding.revision:
             return
-        self._told_findings[finding.key] = finding.revision
-        if len(self._told_findings) > _MOST_TOLD_FINDINGS:
-            self._told_findings.popitem(last=False)
+        self._logged_findings[finding.key] = finding.revision
+        if len(self._logged_findings) > _MAX_LOGGED_FINDINGS:
+            self._logged_findings.popitem(last=False)
         self._log.state(DocumentRejected(finding.reason))
 
     def _on_removals_held(self, count: int) -> None:
@@ -247,7 +253,7 @@
         if self._probe.is_store_lost or not self._is_watching:
             return
         for part in result.ahead:
-            # The store answers this daemon, so the part's watch should have told the news.
+            # The store answers this daemon, so the part's watch should have reported this change.
             self._syncs[part].catch_up()
 
     def _on_contradiction(self, address: str, parts: list[FleetPart]) -> None:
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_news.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_news.py
@@ -1,4 +1,4 @@
-"""Wires what tells the other daemons of changes and what hears of changes from them."""
+"""Connects the components that send fleet changes to other daemons and receive them."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class FleetNews:
-    """One daemon's exchange of news with the others.
+    """One daemon's exchange of fleet changes with the other daemons.
 
     Args:
         own_address: this daemon's peer address.
-        membership: returns the membership, which is made after this.
-        follower: decides whether the store or the others are heard.
+        membership: returns the membership, which is created after this object.
+        follower: decides whether changes come from the store or from other daemons.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
             self.exchange,
             self.choice,
             own_address,
-            follower.must_hear_others,
+            follower.needs_peer_news,
             view.is_ready,
             FRESH_SECONDS,
             generator,
@@ -65,12 +65,12 @@
         )
 
     def register(self, server: PeerServer) -> None:
-        """Serve the methods of the exchange."""
+        """Register the RPC methods of the exchange with a server."""
         self.exchange.register(server)
         self.feed.register(server)
 
     def ask_soon(self) -> None:
-        """Ask the others for news at once, where this daemon hears from them."""
+        """Request changes from other daemons at once, if this daemon depends on them."""
         self._subscription.ask_soon()
 
     def loops(self) -> list[Coroutine[None, None, None]]:
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_size.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_size.py
@@ -1,4 +1,4 @@
-"""Counts the daemons that share the limits, by their heartbeats and their registrations."""
+"""Counts the daemons that share the limits, from the member table and their registrations."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FleetSize:
-    """How many daemons there are, in all and in each region.
+    """The number of daemons, in total and in each region.
 
     Args:
         regions: the regions of the settings.
@@ -29,17 +29,17 @@
         self._has_read_registrations = False
 
     def note_registered(self, daemons: tuple[RegisteredDaemon, ...]) -> None:
-        """Take the daemons that the store lists."""
+        """Record the daemons that are registered in the store."""
         self._registered = daemons
         self._has_read_registrations = True
         self.daemons.observe(len(daemons))
 
     def registered_addresses(self) -> list[str]:
-        """Return the peer addresses of the daemons that the store lists."""
+        """Return the peer addresses of the daemons registered in the store."""
         return [each.peer_address for each in self._registered]
 
     async def run(self, table: MemberTable) -> None:
-        """Count the members that are alive, until cancelled."""
+        """Count the live members periodically, until cancelled."""
         while True:
             live = table.live()
             self.daemons.observe(max(len(live), len(self._registered)))
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/gateway_gauges.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/gateway_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of the gateway, read each time its metrics are collected."""
+"""Defines the gauges of a gateway, which are read at each collection of its metrics."""
 
 from __future__ import annotations
 
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/gateway_operations.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/gateway_operations.py
@@ -1,8 +1,8 @@
-"""What operators ask of one gateway daemon: its metrics, tenants, and requests that end back ends.
+"""The operator endpoints of a gateway daemon: metrics, tenants, and requests that crash back ends.
 
 ``GET /crash-records`` lists those requests with their evidence. ``POST /crash-records/ID/release``
-releases one everywhere; it takes the daemons' shared secret. ``GET /tenants`` tells their use of
-their limits. Every other path tells the metrics.
+releases one from quarantine on all daemons and requires the daemons' shared secret.
+``GET /tenants`` reports how much of their limits tenants use. Every other path returns the metrics.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 
 
 class GatewayOperations:
-    """Answers operators.
+    """Answers operators' HTTP requests.
 
     Args:
-        ledger: what is known of requests that end back ends.
-        secret: proves the right to release one.
-        metrics_text: returns the metrics.
-        tenants: returns the tenants' use of their limits.
+        ledger: records of the requests that crashed back ends.
+        secret: must be presented to release a request.
+        metrics_text: returns the metrics in the exposition format.
+        tenants: returns how much of their limits the tenants use.
     """
 
     def __init__(
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/homes.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/homes.py
@@ -1,4 +1,4 @@
-"""Finds the homes of keys among the members, and relays requests to them over HTTP."""
+"""Finds the home daemon of idempotency keys, and relays requests to it over HTTP."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class MemberHomes:
-    """Answers from the membership who answers for an instance's keys."""
+    """Uses the membership to find the daemon responsible for an instance's keys."""
 
     def __init__(self, membership: Membership, own_instance: str) -> None:
         self._membership = membership
@@ -32,23 +32,23 @@
         return self._own_instance
 
     def resolve(self, instance: str) -> Home | None:
-        """Return the live daemon that answers for the keys; ``None`` where there is none."""
+        """Return the live daemon responsible for an instance's keys, or ``None``."""
         record = self._membership.resolve_home(instance)
         return Home(record.instance, record.caller_address) if record is not None else None
 
 
 class HttpRelay:
-    """Passes requests on to their home's callers' interface.
+    """Relays requests to the caller interface of their home daemon.
 
-    A request that may not be repeated always goes on a fresh connection, so that a failed connect
-    is known to have sent nothing.
+    A request that must not be repeated always uses a new connection, so that after a failed connect
+    it is certain that nothing was sent.
     """
 
     def __init__(self, forwarder: Forwarder) -> None:
         self._forwarder = forwarder
 
     def relay(self, home: Home, request: CallerRequest, deadline: float) -> StreamedAnswer:
-        """Return the home's answer.
+        """Send a request to its home and return the answer.
 
         Raises:
             ConnectFailedError: the home accepts no connection; nothing was sent.
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/line_budget.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/line_budget.py
@@ -1,4 +1,4 @@
-"""Bounds how many log lines a daemon writes in a second."""
+"""Limits the number of log lines that a daemon writes per second."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class LineBudget:
-    """So many lines within any second, wherever the second begins."""
+    """Allows a number of lines within any one-second window (sliding, not aligned)."""
 
     def __init__(self, per_second: int) -> None:
         self._per_second = per_second
         self._taken_at: deque[float] = deque()
 
     def try_take(self, lines: int, reserved: int = 0) -> bool:
-        """Take lines, leaving so many reserved; tell whether there were enough."""
+        """Take lines if at least ``reserved`` remain afterwards; return whether they were taken."""
         now = steady_seconds()
         while self._taken_at and self._taken_at[0] <= now - 1.0:
             self._taken_at.popleft()
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/main.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/main.py
@@ -1,4 +1,4 @@
-"""The ``kitekeeld`` binary: checks its settings, runs, and stops as planned on SIGTERM."""
+"""The ``kitekeeld`` program: checks its settings, runs, and stops gracefully on SIGTERM."""
 
 from __future__ import annotations
 
@@ -46,10 +46,11 @@
 
     Args:
         settings: checked settings.
-        daemon_type: a subclass that replaces some of the wiring.
+        daemon_type: ``Daemon``, or a subclass that replaces some of its components.
     """
     signals = StopSignals()
-    # Before the start: a stop that comes while it joins is carried out as planned after it.
+    # Before the start, so that a stop signal that arrives while the daemon joins leads to a planned
+    # stop afterwards.
     signals.listen()
     try:
         daemon = daemon_type(settings)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/metrics.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Counters kept in memory and sent to statsd by a loop of their own, one packet a second."""
+"""Sends the in-memory counters to statsd from a background loop, once a second."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class StatsdSender:
-    """Sends what the counters have grown by since the last time.
+    """Sends the increase of each counter since the previous send.
 
-    Sending in a loop, not at each count, keeps the hot paths free of system calls.
+    Sending from a loop instead of at each increment keeps system calls out of the hot paths.
     """
 
     def __init__(self, metrics: MemoryMetrics, settings: MetricsSettings, name: str) -> None:
@@ -25,7 +25,7 @@
         self._sent: dict[str, int] = {}
 
     def run(self, stop: threading.Event) -> None:
-        """Send until told to stop."""
+        """Send periodically until ``stop`` is set."""
         if not self._address:
             return
         host, _, port = self._address.rpartition(":")
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/operations.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/operations.py
@@ -1,4 +1,4 @@
-"""What a daemon does for operators."""
+"""Implements the operator interface of a daemon."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class DaemonOperations:
-    """Answers queries and carries commands out."""
+    """Answers operators' queries and executes their commands."""
 
     def __init__(
         self,
@@ -40,13 +40,13 @@
         self._stop_requested = stop_requested
 
     def query(self, subject: Subject) -> QueryReply:
-        """Return a table; the one of revisions covers all live daemons."""
+        """Return the table of a subject; the revisions table covers all daemons."""
         if subject is Subject.REVISIONS:
             return self._revisions()
         return self._queries.answer(subject)
 
     def command(self, command: Command, text: str, command_id: str, dry_run: bool) -> CommandReply:
-        """Write a change to the platform, then bring it to every daemon."""
+        """Write a configuration change to the platform, then distribute it to every daemon."""
         before = self._spread.current()
         if dry_run:
             changed = change_configuration(before, command)
@@ -58,7 +58,7 @@
         )
         self._recorder.add("command-accepted", f"revision {written.revision}: {text}")
         self._spread.adopt(written)
-        targets = self._targets()
+        targets = self._spread_targets()
         confirmed = self._spread.spread(targets, _SPREAD_SECONDS)
         missing = sorted({each.instance for each in targets} - confirmed)
         return CommandReply(
@@ -71,7 +71,7 @@
         )
 
     def events(self) -> EventsReply:
-        """Return this daemon's events."""
+        """Return this daemon's events and the operator addresses of the other daemons."""
         own = self._membership.table.own()
         others = {
             each.operator_address
@@ -85,7 +85,7 @@
         self._stop_requested.set()
 
     def _revisions(self) -> QueryReply:
-        targets = self._targets()
+        targets = self._spread_targets()
         confirmed = self._spread.spread(targets, _SPREAD_SECONDS)
         revision = str(self._spread.revision())
         rows = tuple(
@@ -94,19 +94,19 @@
         )
         return QueryReply(("daemon", "revision"), rows)
 
-    def _targets(self) -> list[SpreadTarget]:
+    def _spread_targets(self) -> list[SpreadTarget]:
         """Return every daemon that should have the configuration.
 
-        One that is thought dead counts until another daemon has taken its place, because it may
-        only be cut off.
+        A daemon believed dead is included until another daemon has taken its place, because it may
+        only be unreachable.
         """
         records = self._membership.table.all()
-        taken = {_place(each) for each in records if each.state <= MemberState.SUSPECT}
+        occupied_places = {_place(each) for each in records if each.state <= MemberState.SUSPECT}
         return [
             SpreadTarget(each.instance, each.peer_address)
             for each in records
             if each.state <= MemberState.SUSPECT
-            or (each.state is MemberState.DEAD and _place(each) not in taken)
+            or (each.state is MemberState.DEAD and _place(each) not in occupied_places)
         ]
 
 
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/placement_log.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/placement_log.py
@@ -1,4 +1,4 @@
-"""Writes a line where what placement goes by has changed."""
+"""Logs changes of the inputs to placement decisions."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class PlacementLog:
-    """Told of changes by the parts that observe regions and objects."""
+    """Logs changes reported by the components that observe regions and objects."""
 
     def __init__(self, log: DecisionLog) -> None:
         self._log = log
 
     def objects_compared(self, service: str, is_shared: bool, known_share: float) -> None:
-        """Tell that regions were found to ask for the same objects, or no longer to."""
+        """Log that regions were found to request the same objects, or no longer do."""
         self._log.state(ObjectsCompared(service, is_shared, round(known_share, 2)))
 
     def comparison_failed(self, address: str, seconds: float, reason: str) -> None:
-        """Tell that another daemon did not answer when objects were to be compared."""
+        """Log that another daemon did not answer a request to compare objects."""
         self._log.state(PeerAnswered(address, 0, round(seconds, 3), reason))
 
     def local_share_moves(self, moving: LocalShareTarget) -> None:
-        """Tell that the own region's part of a service's keys begins to move."""
+        """Log that the own region's share of a service's keys starts to change."""
         self._log.state(
             LocalShareMoves(
                 service=moving.service,
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/platform_follower.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/platform_follower.py
@@ -1,4 +1,4 @@
-"""Follows what the platform holds for a daemon: the configuration and the machine list."""
+"""Watches the configuration and polls the machine list on the platform."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 from kitekeel_platform.watchers import ConfigurationWatch, MachineListPoll
 from kitekeel_steering.errors import PlatformError
 
-# A back end that the list calls leaving gets no new work within 3 s, the list's own lag aside.
+# Polling interval. A back end that the list marks as leaving must get no new work after 3 s, not
+# counting the delay of the list itself.
 _MACHINE_LIST_SECONDS = 1.0
 
 Loop = Callable[[threading.Event], None]
 
 
 class PlatformFollower:
-    """Hands on what the platform tells; while it cannot be used, the former beliefs hold.
+    """Passes on the platform's data; the last known data stays in use while it is unavailable.
 
     Args:
-        client: asks the platform.
-        store: reads the configuration from it.
-        spread: takes configurations.
-        keeper: told which back ends are leaving.
-        recorder: records why the platform cannot be used.
-        is_watcher: tells whether this daemon is to watch the configuration at present.
-        needs_machines: tells whether it is to ask for the machine list at present.
+        client: queries the platform.
+        store: reads the configuration from the platform.
+        spread: adopts configurations.
+        keeper: notified of the back ends that are leaving.
+        recorder: records why the platform is unavailable.
+        is_watcher: returns whether this daemon must currently watch the configuration.
+        needs_machines: returns whether it must currently poll the machine list.
     """
 
     def __init__(
@@ -53,11 +54,11 @@
         self._failure = ""
 
     def daemon_addresses(self) -> list[str]:
-        """Return the peers' addresses of the daemons in the machine list."""
+        """Return the peer addresses of the daemons in the machine list."""
         return [each.address for each in self._machine_list.machines if each.role == "daemon"]
 
     def load_machines(self) -> None:
-        """Ask for the machine list once."""
+        """Fetch the machine list once."""
         try:
             self._on_machine_list(self._client.machines())
         except PlatformError as error:
@@ -99,7 +100,7 @@
         self._keeper.set_leaving(frozenset(leaving))
 
     def _note_failure(self, error: PlatformError) -> None:
-        """Record why the platform cannot be used, once until the reason changes."""
+        """Record why the platform is unavailable, only when the reason changes."""
         if error.message != self._failure:
             self._failure = error.message
             self._recorder.add("platform-unavailable", error.message)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/process_signals.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/process_signals.py
@@ -1,14 +1,16 @@
-"""What signals do to a process: a stop as planned, a reload where there is one, never a sudden end.
+"""Signal handling: a planned stop, a reload where the program supports it, never an abrupt exit.
 
-Python runs a signal's handler on the main thread only, between two of its instructions, while the
-kernel may hand the signal to any thread. An event loop is woken by a descriptor that each signal
-writes to; a main thread that waits otherwise must wake by itself from time to time.
+Python runs signal handlers on the main thread only, between two bytecode instructions, while the
+kernel may deliver the signal to any thread. An event loop is woken by a file descriptor that each
+signal writes to; a main thread that blocks in another way must wake up periodically.
 
-No signal has its default action at any time, as that ends the process at once:
+No signal ever has its default action, as that would end the process at once:
 
 - while the program is loaded, stop signals are blocked (:mod:`kitekeel_daemon.start_signals`);
-- a handler is installed before they are unblocked, and is replaced only by one that ignores them;
-- handlers are not the event loop's, which restores the default action when it removes them.
+- handlers are installed before the signals are unblocked, and are later replaced only by
+  ``SIG_IGN``;
+- handlers are not registered through the event loop, which restores the default action when it
+  removes them.
 """
 
 from __future__ import annotations
@@ -22,47 +24,48 @@
 
 from kitekeel_daemon.start_signals import STOP_SIGNALS, unblock_stop_signals
 
-# A daemon that was paused while it was told to stop never left without this; one that leaves
-# 0.5 s later does so within what callers and other daemons are given to hear of it.
+# Without this wake-up, a daemon that was paused when the stop signal arrived never left. A delay of
+# 0.5 s is within the time that callers and other daemons are given to learn of the stop.
 _WAKE_SECONDS = 0.5
 _WAKE_BYTES = 4096
 
 
 def ignore_signals() -> None:
-    """Ignore all signals that this module deals with, in a process that ends by itself."""
+    """Ignore all signals handled by this module, in a process that is already ending."""
     for number in (signal.SIGHUP, *STOP_SIGNALS):
         signal.signal(number, signal.SIG_IGN)
 
 
 class StopSignals:
-    """SIGTERM and SIGINT of a process without an event loop; used on its main thread.
+    """Handles SIGTERM and SIGINT in a process without an event loop; used on its main thread.
 
-    SIGHUP is ignored, as settings are read at the start only.
+    SIGHUP is ignored, as settings are only read at startup.
     """
 
     def __init__(self) -> None:
         self._is_received = False
 
     def listen(self) -> None:
-        """Note stop signals from now on, those included that came while the program was loaded."""
+        """Install the handlers; stop signals received while the program was loading count too."""
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         for number in STOP_SIGNALS:
-            signal.signal(number, self._note)
+            signal.signal(number, self._on_signal)
         unblock_stop_signals()
 
     def wait(self, stop_requested: threading.Event) -> None:
-        """Wait for a stop signal or the event; further signals are ignored afterwards."""
+        """Wait for a stop signal or the event, then ignore further signals."""
         while not self._is_received and not stop_requested.wait(_WAKE_SECONDS):
             continue
         ignore_signals()
 
-    def _note(self, _number: int, _frame: FrameType | None) -> None:
-        # Takes no lock, such as an event's: the main thread may hold it when the handler runs.
+    def _on_signal(self, _number: int, _frame: FrameType | None) -> None:
+        # Must not take a lock, such as that of an Event: the main thread may hold it when this
+        # handler interrupts it.
         self._is_received = True
 
 
 class LoopSignals:
-    """The signals of a process with an event loop; used on its main thread, within the loop.
+    """Handles signals in a process with an event loop; used on its main thread, within the loop.
 
     Args:
         on_stop: called on SIGTERM and SIGINT.
@@ -75,21 +78,24 @@
         self._wake_reader, self._wake_writer = socket.socketpair()
 
     def listen(self) -> None:
-        """Call back on the event loop from now on, also for stop signals that were blocked."""
+        """Install the handlers, which run the callbacks on the event loop.
+
+        Stop signals that were blocked until now are delivered too.
+        """
         loop = asyncio.get_running_loop()
         self._wake_on_signals(loop)
-        self._handle(loop, signal.SIGHUP, self._on_reload)
+        self._install_handler(loop, signal.SIGHUP, self._on_reload)
         for number in STOP_SIGNALS:
-            self._handle(loop, number, self._on_stop)
+            self._install_handler(loop, number, self._on_stop)
         unblock_stop_signals()
 
-    def _handle(
+    def _install_handler(
         self, loop: asyncio.AbstractEventLoop, number: signal.Signals, callback: Callable[[], None]
     ) -> None:
         signal.signal(number, lambda _number, _frame: loop.call_soon_threadsafe(callback))
 
     def _wake_on_signals(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Have each signal wake the loop, whichever thread the kernel hands it to."""
+        """Make each signal wake the loop, whichever thread the kernel delivers it to."""
         for each in (self._wake_reader, self._wake_writer):
             each.setblocking(False)
         loop.add_reader(self._wake_reader, self._discard_wake_bytes)
@@ -99,5 +105,5 @@
         try:
             self._wake_reader.recv(_WAKE_BYTES)
         except BlockingIOError:
-            # Nothing is left to read: an earlier call took the bytes of several signals.
+            # Nothing is left to read: an earlier call read the bytes of several signals.
             pass
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/queries.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/queries.py
@@ -1,4 +1,4 @@
-"""The tables that answer operators' queries."""
+"""Builds the tables that answer operators' queries."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Queries:
-    """Answers queries from this daemon's state."""
+    """Builds each table from this daemon's state and configuration."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
                 each.zone,
                 each.address,
                 each.slots,
-                _drain_word(configuration, each),
+                _drain_state(configuration, each),
             )
             for each in configuration.back_ends
         )
@@ -222,7 +222,7 @@
         return _table(("counter", "count"), sorted(self._metrics.snapshot().items()))
 
 
-def _drain_word(configuration: Configuration, back_end: BackEnd) -> str:
+def _drain_state(configuration: Configuration, back_end: BackEnd) -> str:
     return "drained" if configuration.is_drained(back_end) else "in use"
 
 
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/settings_reload.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/settings_reload.py
@@ -1,4 +1,4 @@
-"""Reads a gateway's settings file again on request, and takes it over if it has no findings."""
+"""Reloads a gateway's settings file on request, and applies it if it has no findings."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class SettingsReload:
-    """The reload of one daemon.
+    """Reloads the settings of one daemon.
 
     Args:
-        on_settings: called with the settings that are in force from now on, as far as they may
-            change while the daemon runs.
+        on_settings: called with the new settings, to apply those that may change while the daemon
+            runs.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         self._on_settings = on_settings
 
     def run(self) -> None:
-        """Check the file, and take it over or say why not."""
+        """Check the file, then apply it or log why it was rejected."""
         try:
             settings = parse_gateway_settings(self._file.read_text())
         except (OSError, FindingsError) as error:
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/start_signals.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/start_signals.py
@@ -1,6 +1,6 @@
-"""Signals that come while a program's modules are still being loaded.
+"""Handling of signals that arrive while a program is still importing its modules.
 
-Imports nothing but ``signal``, so that programs can call it before they load anything else.
+Imports nothing but ``signal``, so that programs can call it before any other import.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 
 def hold_signals() -> None:
-    """Keep a stop signal for later, and ignore a reload, which has nothing to reload yet."""
+    """Block stop signals until they can be handled; ignore SIGHUP, as nothing is loaded yet."""
     signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
 def unblock_stop_signals() -> None:
-    """Let stop signals reach their handlers, those included that came meanwhile."""
+    """Deliver stop signals to their handlers, including those that arrived while blocked."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, STOP_SIGNALS)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/view_changes.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/view_changes.py
@@ -1,4 +1,4 @@
-"""Has every part of a gateway follow a change of what it believes about the fleet, and logs it."""
+"""Passes each change of the fleet view on to the components of a gateway, and logs it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ViewChanges:
-    """Passes changes on; called on the event loop."""
+    """Dispatches view changes; called on the event loop."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._log = log
 
     def on_change(self, change: ViewChange) -> None:
-        """Take one change."""
+        """Pass one change on, update the metrics, and log it."""
         item = change.item
         for each in self._followers:
             each.on_change(change)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/wake_watch.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/wake_watch.py
@@ -1,8 +1,8 @@
-"""Notices that this process did not run for a while, and checks its beliefs before it goes on.
+"""Detects that this process was paused, and holds requests until its fleet view is current again.
 
-A machine that was suspended, or a process that was paused, wakes with beliefs that were current
-then: its watches may lead nowhere, and back ends have come and gone. Requests wait, for a moment at
-most, until the store or another daemon has told what has changed since.
+After a machine was suspended or a process was paused, the fleet view is stale: store watches may be
+dead, and back ends may have come and gone. Requests wait briefly until the store or another daemon
+has reported the changes since.
 """
 
 from __future__ import annotations
@@ -14,48 +14,47 @@
 from kitekeel_steering.fleet_view import FleetView
 
 _TICK_SECONDS = 0.1
-# A busy event loop comes to its timers within some tenths of a second.
-_LEAST_PAUSE_SECONDS = 2.0
-# An answer takes 0.12 s on the longest way, and 0.6 s where a first watcher does not answer.
-_LONGEST_HOLD_SECONDS = 0.7
+# A shorter delay is not taken for a pause: a busy event loop may run its timers a few tenths of a
+# second late.
+_MIN_PAUSE_SECONDS = 2.0
+# The slowest route takes 0.12 s to answer, or 0.6 s if the first watcher asked does not answer.
+_MAX_HOLD_SECONDS = 0.7
 _POLL_SECONDS = 0.02
 
 
 class WakeWatch:
-    """Tells when one daemon has woken, and holds its requests; used on one event loop.
+    """Detects pauses of one daemon and holds its requests after them; used on one event loop.
 
     Args:
-        view: tells when its beliefs were last known to be current.
-        on_woke: called with the time in seconds for which the process did not run.
+        view: knows when it was last confirmed to be current.
+        on_wake: called with the number of seconds for which the process did not run.
     """
 
-    def __init__(self, view: FleetView, clock: Clock, on_woke: Callable[[float], None]) -> None:
+    def __init__(self, view: FleetView, clock: Clock, on_wake: Callable[[float], None]) -> None:
         self._view = view
         self._clock = clock
-        self._on_woke = on_woke
-        self._seen_at = clock.monotonic()
+        self._on_wake = on_wake
+        self._last_tick_at = clock.monotonic()
         self._woke_at = float("-inf")
 
     async def run(self) -> None:
-        """Look at the clock in short steps, until cancelled."""
+        """Check the clock at short intervals, until cancelled."""
         while True:
-            self._look()
+            self._check_clock()
             await asyncio.sleep(_TICK_SECONDS)
 
     async def until_current(self) -> None:
-        """Wait, where this process has just woken, until its beliefs are known to be current."""
-        now = self._look()
-        while (
-            self._view.confirmed_at < self._woke_at and now - self._woke_at < _LONGEST_HOLD_SECONDS
-        ):
+        """After a pause, wait until the fleet view is confirmed as current, but not for long."""
+        now = self._check_clock()
+        while self._view.confirmed_at < self._woke_at and now - self._woke_at < _MAX_HOLD_SECONDS:
             await asyncio.sleep(_POLL_SECONDS)
-            now = self._look()
+            now = self._check_clock()
 
-    def _look(self) -> float:
+    def _check_clock(self) -> float:
         now = self._clock.monotonic()
-        paused_seconds = now - self._seen_at - _TICK_SECONDS
-        self._seen_at = now
-        if paused_seconds >= _LEAST_PAUSE_SECONDS:
+        paused_seconds = now - self._last_tick_at - _TICK_SECONDS
+        self._last_tick_at = now
+        if paused_seconds >= _MIN_PAUSE_SECONDS:
             self._woke_at = now
-            self._on_woke(paused_seconds)
+            self._on_wake(paused_seconds)
         return now
