--- a/packages/kitekeel-daemon/src/kitekeel_daemon/line_budget.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/line_budget.py
@@ -8,7 +8,7 @@
 
 
 class LineBudget:
-    """Allows a number of lines within any one-second window (sliding, not aligned)."""
+    """Allows ``per_second`` lines within any one-second window, wherever it begins."""
 
     def __init__(self, per_second: int) -> None:
         self._per_second = per_second
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/metrics.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Sends the in-memory counters to statsd from a background loop, once a second."""
+"""Sends the in-memory counters to statsd from a background loop, in one packet per second."""
 
 from __future__ import annotations
 
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/operations.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/operations.py
@@ -40,7 +40,7 @@
         self._stop_requested = stop_requested
 
     def query(self, subject: Subject) -> QueryReply:
-        """Return the table of a subject; the revisions table covers all daemons."""
+        """Return the table of a subject; the revisions table includes the other daemons."""
         if subject is Subject.REVISIONS:
             return self._revisions()
         return self._queries.answer(subject)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/planned_stop.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/planned_stop.py
@@ -29,7 +29,7 @@
         self._leave_cluster()
 
     def _withdraw_from_lookups(self) -> None:
-        """Withdraw from look-up answers, and keep serving until all cached answers have expired."""
+        """Withdraw from look-up answers, serve until cached ones expire, and resign as keeper."""
         self._daemon.recorder.add("daemon-leaving", "no longer named in look-ups")
         self._daemon.membership.announce_phase(MemberPhase.LEAVING)
         time.sleep(self._daemon.settings.callers.max_age_seconds + _PROPAGATION_SECONDS)
