--- a/packages/kitekeel-peers/src/kitekeel_peers/news_feed.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/news_feed.py
@@ -19,7 +19,7 @@
 from kitekeel_peers.view_exchange import current_age
 from kitekeel_steering.clock import Clock
 from kitekeel_steering.errors import PeerError
-from kitekeel_steering.fleet_items import FleetPart, PartKnowledge, PartNews
+from kitekeel_steering.fleet_items import FleetPart, PartKnowledge, PartUpdate
 from kitekeel_steering.fleet_view import FleetView
 
 NEWS = "News"
@@ -41,7 +41,7 @@
     """
 
     sender: str
-    parts: tuple[PartNews, ...]
+    parts: tuple[PartUpdate, ...]
     age_seconds: float | None
 
 
@@ -147,10 +147,10 @@
         for address in expired:
             del self._subscribers[address]
 
-    def _missing_news(self, subscriber: _Subscriber) -> tuple[PartNews, ...]:
+    def _missing_news(self, subscriber: _Subscriber) -> tuple[PartUpdate, ...]:
         """Return the changes for a subscriber, except parts for which it needs a snapshot."""
         found = (
-            self._view.news_for(part, known)
+            self._view.update_for(part, known)
             for part, known in zip(FleetPart, subscriber.known, strict=False)
         )
         return tuple(each for each in found if each.items and not each.is_snapshot)
@@ -180,7 +180,7 @@
 
     async def _handle_push(self, push: NewsPush) -> NewsReceipt:
         for news in push.parts:
-            self._view.take_over(news, f"peer {push.sender}")
+            self._view.apply_update(news, f"peer {push.sender}")
         changes = sum(len(each.items) for each in push.parts)
         self._on_news(push.sender, changes, push.age_seconds)
         return NewsReceipt(tuple(self._view.knowledge(part) for part in FleetPart))
--- a/packages/kitekeel-steering/src/kitekeel_steering/fleet_items.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/fleet_items.py
@@ -115,7 +115,7 @@
     fingerprint: int = 0
 
 
-class PartNews(msgspec.Struct, frozen=True, array_like=True):
+class PartUpdate(msgspec.Struct, frozen=True, array_like=True):
     """An update of one part, from the store or from another daemon.
 
     Attributes:
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -13,7 +13,7 @@
     FleetPart,
     ItemKind,
     PartKnowledge,
-    PartNews,
+    PartUpdate,
     ViewItem,
 )
 from kitekeel_steering.fleet_view import FleetView
@@ -76,24 +76,24 @@
     """Return a view that knows everything up to the last of the items."""
     last = max(each.revision for each in items)
     view = FleetView(ManualClock())
-    view.take_over(
-        PartNews(FleetPart.BACK_ENDS, 0, Extent(last, last), items, is_snapshot=True), "store"
+    view.apply_update(
+        PartUpdate(FleetPart.BACK_ENDS, 0, Extent(last, last), items, is_snapshot=True), "store"
     )
     return view
 
 
-def changes(after: int, *items: ViewItem) -> PartNews:
+def changes(after: int, *items: ViewItem) -> PartUpdate:
     """Return the changes after a revision."""
     last = max(each.revision for each in items)
-    return PartNews(FleetPart.BACK_ENDS, after, Extent(last, last), items)
+    return PartUpdate(FleetPart.BACK_ENDS, after, Extent(last, last), items)
 
 
 def test_a_complete_read_removes_what_it_lacks_but_not_what_is_newer() -> None:
     view = FleetView(ManualClock())
     view.merge([back_end("old", 3), back_end("newer", 9), evacuation("n2", 2)], "test")
     found = [back_end("kept", 4)]
-    view.take_over(
-        PartNews(FleetPart.BACK_ENDS, 0, Extent(5, 4), tuple(found), is_snapshot=True), "test"
+    view.apply_update(
+        PartUpdate(FleetPart.BACK_ENDS, 0, Extent(5, 4), tuple(found), is_snapshot=True), "test"
     )
     assert set(view.back_ends("search")) == {"newer", "kept"}
     assert view.evacuated_zones == {"n2"}
@@ -121,34 +121,34 @@
 def test_another_daemon_gets_what_it_lacks_removals_included() -> None:
     view = complete_view(back_end("a", 3))
     other = complete_view(back_end("a", 3))
-    view.take_over(changes(3, back_end("b", 4), back_end("a", 5, removed=True)), "store")
-    other.take_over(view.news_for(FleetPart.BACK_ENDS, PartKnowledge(Extent(3, 3))), "peer")
+    view.apply_update(changes(3, back_end("b", 4), back_end("a", 5, removed=True)), "store")
+    other.apply_update(view.update_for(FleetPart.BACK_ENDS, PartKnowledge(Extent(3, 3))), "peer")
     assert set(other.back_ends("search")) == {"b"}
     assert other.extent(FleetPart.BACK_ENDS).last_change == 5
 
 
 def test_a_later_change_does_not_hide_that_an_earlier_one_is_missing() -> None:
     view = complete_view(back_end("a", 3), back_end("b", 3))
-    view.take_over(changes(4, back_end("b", 5)), "peer")
+    view.apply_update(changes(4, back_end("b", 5)), "peer")
     assert view.extent(FleetPart.BACK_ENDS).last_change == 3
-    view.take_over(changes(3, back_end("a", 4, removed=True)), "store")
+    view.apply_update(changes(3, back_end("a", 4, removed=True)), "store")
     assert view.extent(FleetPart.BACK_ENDS).last_change == 4
 
 
 def test_progress_goes_on_after_revisions_at_which_nothing_of_the_part_changed() -> None:
     view = FleetView(ManualClock())
-    read = PartNews(FleetPart.BACK_ENDS, 0, Extent(9, 3), (back_end("a", 3),), is_snapshot=True)
-    view.take_over(read, "store")
+    read = PartUpdate(FleetPart.BACK_ENDS, 0, Extent(9, 3), (back_end("a", 3),), is_snapshot=True)
+    view.apply_update(read, "store")
     assert view.extent(FleetPart.BACK_ENDS).last_change == 3
-    view.take_over(PartNews(FleetPart.BACK_ENDS, 9, Extent(12), ()), "store")
-    view.take_over(changes(12, back_end("a", 13, removed=True)), "store")
+    view.apply_update(PartUpdate(FleetPart.BACK_ENDS, 9, Extent(12), ()), "store")
+    view.apply_update(changes(12, back_end("a", 13, removed=True)), "store")
     assert view.extent(FleetPart.BACK_ENDS).last_change == 13
 
 
 def test_a_withheld_removal_is_not_claimed_to_be_known() -> None:
     view = complete_view(back_end("a", 3), back_end("b", 3))
     removal = back_end("a", 4, removed=True)
-    view.take_over(changes(3, removal, back_end("b", 5)), "store", lapses=[removal])
+    view.apply_update(changes(3, removal, back_end("b", 5)), "store", lapses=[removal])
     assert set(view.back_ends("search")) == {"a", "b"}
     assert view.extent(FleetPart.BACK_ENDS).last_change == 3
     view.merge([removal], "store")
@@ -157,11 +157,13 @@
 
 def test_a_daemon_that_may_have_forgotten_removals_tells_all_it_has() -> None:
     restarted = FleetView(ManualClock())
-    restarted.take_over(
-        PartNews(FleetPart.BACK_ENDS, 0, Extent(9, 6), (back_end("b", 6),), True), "store"
+    restarted.apply_update(
+        PartUpdate(FleetPart.BACK_ENDS, 0, Extent(9, 6), (back_end("b", 6),), True), "store"
     )
     other = complete_view(back_end("a", 3), back_end("b", 3))
-    other.take_over(restarted.news_for(FleetPart.BACK_ENDS, PartKnowledge(Extent(3, 3))), "peer")
+    other.apply_update(
+        restarted.update_for(FleetPart.BACK_ENDS, PartKnowledge(Extent(3, 3))), "peer"
+    )
     assert set(other.back_ends("search")) == {"b"}
     assert other.extent(FleetPart.BACK_ENDS).last_change == 6
 
@@ -169,28 +171,28 @@
 def test_a_snapshot_hides_no_removal_from_a_daemon_that_saw_what_was_removed() -> None:
     """Back end b was written and removed while the teller's history was lost to it."""
     teller = complete_view(back_end("a", 3))
-    teller.take_over(
-        PartNews(FleetPart.BACK_ENDS, 0, Extent(9, 3), (back_end("a", 3),), is_snapshot=True),
+    teller.apply_update(
+        PartUpdate(FleetPart.BACK_ENDS, 0, Extent(9, 3), (back_end("a", 3),), is_snapshot=True),
         "store",
     )
     other = complete_view(back_end("a", 3))
-    other.take_over(changes(3, back_end("b", 5)), "store")
-    other.take_over(teller.news_for(FleetPart.BACK_ENDS, PartKnowledge(Extent(5, 5))), "peer")
+    other.apply_update(changes(3, back_end("b", 5)), "store")
+    other.apply_update(teller.update_for(FleetPart.BACK_ENDS, PartKnowledge(Extent(5, 5))), "peer")
     assert set(other.back_ends("search")) == {"a"}
 
 
 def test_a_daemon_that_believes_the_same_is_told_so_in_place_of_everything() -> None:
     restarted = FleetView(ManualClock())
-    read = PartNews(FleetPart.BACK_ENDS, 0, Extent(9, 3), (back_end("a", 3),), is_snapshot=True)
-    restarted.take_over(read, "store")
+    read = PartUpdate(FleetPart.BACK_ENDS, 0, Extent(9, 3), (back_end("a", 3),), is_snapshot=True)
+    restarted.apply_update(read, "store")
     other = complete_view(back_end("a", 3))
-    news = restarted.news_for(FleetPart.BACK_ENDS, other.knowledge(FleetPart.BACK_ENDS))
+    news = restarted.update_for(FleetPart.BACK_ENDS, other.knowledge(FleetPart.BACK_ENDS))
     assert not news.items and not news.is_snapshot
-    other.take_over(news, "peer")
+    other.apply_update(news, "peer")
     assert other.extent(FleetPart.BACK_ENDS) == Extent(9, 3)
     third = complete_view(back_end("a", 3))
-    third.take_over(changes(3, back_end("b", 5)), "store")
-    third.take_over(other.news_for(FleetPart.BACK_ENDS, PartKnowledge(Extent(5, 5))), "peer")
+    third.apply_update(changes(3, back_end("b", 5)), "store")
+    third.apply_update(other.update_for(FleetPart.BACK_ENDS, PartKnowledge(Extent(5, 5))), "peer")
     assert set(third.back_ends("search")) == {"a"}
 
 
@@ -200,7 +202,7 @@
     for _ in range(3):
         started_at = time.perf_counter()
         for _ in range(100):
-            view.news_for(FleetPart.BACK_ENDS, knowledge)
+            view.update_for(FleetPart.BACK_ENDS, knowledge)
         rounds.append(time.perf_counter() - started_at)
     return min(rounds)
 
@@ -237,7 +239,7 @@
 def test_views_that_believe_the_same_have_one_fingerprint_whatever_way_they_came_to_it() -> None:
     read = complete_view(back_end("a", 3), back_end("b", 4))
     told = complete_view(back_end("a", 2))
-    told.take_over(changes(2, back_end("b", 4), back_end("a", 3)), "store")
+    told.apply_update(changes(2, back_end("b", 4), back_end("a", 3)), "store")
     assert fingerprint(read) == fingerprint(told) != 0
     other = complete_view(back_end("a", 3), back_end("c", 3), back_end("b", 4))
     assert fingerprint(other) not in (0, fingerprint(read))
@@ -245,11 +247,11 @@
 
 def test_a_view_that_is_partly_ahead_or_withholds_offers_no_fingerprint() -> None:
     view = complete_view(back_end("a", 3))
-    view.take_over(changes(4, back_end("b", 5)), "peer")
+    view.apply_update(changes(4, back_end("b", 5)), "peer")
     assert fingerprint(view) == 0
     view = complete_view(back_end("a", 3), back_end("b", 3))
     removal = back_end("a", 4, removed=True)
-    view.take_over(changes(3, removal), "store", lapses=[removal])
+    view.apply_update(changes(3, removal), "store", lapses=[removal])
     assert fingerprint(view) == 0
     view.merge([removal], "store")
     assert fingerprint(view) == fingerprint(complete_view(back_end("b", 3))) != 0
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -22,7 +22,7 @@
     Extent,
     FleetPart,
     ItemKind,
-    PartNews,
+    PartUpdate,
     ViewItem,
 )
 from kitekeel_steering.fleet_view import FleetView, ViewChange
@@ -95,8 +95,8 @@
 
 def test_a_process_that_is_gone_does_not_return_after_a_lost_history() -> None:
     view, _ = view_of(item(1, FIRST_MS), item(5, SECOND_MS))
-    snapshot = PartNews(FleetPart.BACK_ENDS, 0, Extent(9, 7), (item(7, FIRST_MS),), True)
-    view.take_over(snapshot, "store")
+    snapshot = PartUpdate(FleetPart.BACK_ENDS, 0, Extent(9, 7), (item(7, FIRST_MS),), True)
+    view.apply_update(snapshot, "store")
     assert start_believed(view) == SECOND_MS
 
 
--- a/tests/test_news_model.py
+++ b/tests/test_news_model.py
@@ -22,7 +22,7 @@
     FleetPart,
     ItemKind,
     PartKnowledge,
-    PartNews,
+    PartUpdate,
     ViewItem,
 )
 from kitekeel_steering.fleet_view import FleetView
@@ -64,7 +64,7 @@
         )
         self.clock = clock
         self.view = FleetView(clock)
-        self.view.take_over(configuration_news(), "store")
+        self.view.apply_update(configuration_news(), "store")
         self.choice = WatcherChoice(lambda: self.record, lambda: self.known(members), clock)
         self.duty = WatchDuty(clock, random.Random(number))
         self.started_at = clock.monotonic()
@@ -99,9 +99,9 @@
         self.disturbed_at = self.clock.monotonic()
 
 
-def configuration_news() -> PartNews:
+def configuration_news() -> PartUpdate:
     item = ViewItem(ItemKind.CONFIGURATION, "", 1, configuration=RoutingConfiguration(1))
-    return PartNews(FleetPart.CONFIGURATION, 0, Extent(1, 1), (item,), is_snapshot=True)
+    return PartUpdate(FleetPart.CONFIGURATION, 0, Extent(1, 1), (item,), is_snapshot=True)
 
 
 class NewsModel(RuleBasedStateMachine):
@@ -214,18 +214,18 @@
         else:
             items = tuple(each for each in self.history if each.revision > known)
             last = items[-1].revision if items else daemon.view.extent(PART).last_change
-            news = PartNews(PART, known, Extent(self.revision, last), items)
-        daemon.view.take_over(news, "store")
+            news = PartUpdate(PART, known, Extent(self.revision, last), items)
+        daemon.view.apply_update(news, "store")
         if self.clock.monotonic() >= daemon.probes_at:
             daemon.probes_at = self.clock.monotonic() + PROBE_SECONDS
             daemon.view.confirm()
         if not self.loses_pushes and not daemon.is_cut_from_peers:
             self._push(daemon)
 
-    def _snapshot(self) -> PartNews:
+    def _snapshot(self) -> PartUpdate:
         items = tuple(self.held.values())
         last = max((each.revision for each in items), default=0)
-        return PartNews(PART, 0, Extent(self.revision, last), items, is_snapshot=True)
+        return PartUpdate(PART, 0, Extent(self.revision, last), items, is_snapshot=True)
 
     def _push(self, daemon: Daemon) -> None:
         now = self.clock.monotonic()
@@ -242,7 +242,7 @@
 
     def _tell(self, source: Daemon, target: Daemon) -> None:
         knowledge: PartKnowledge = target.view.knowledge(PART)
-        target.view.take_over(source.view.news_for(PART, knowledge), source.record.instance)
+        target.view.apply_update(source.view.update_for(PART, knowledge), source.record.instance)
         age = source.view.age_seconds() if source.view.is_ready() else None
         target.duty.note_news(age)
         if age is not None:
--- a/tests/test_view_model.py
+++ b/tests/test_view_model.py
@@ -17,7 +17,7 @@
     Extent,
     FleetPart,
     ItemKind,
-    PartNews,
+    PartUpdate,
     ViewItem,
     part_of,
 )
@@ -39,7 +39,7 @@
         self.removed_by: dict[tuple[ItemKind, str], int] = {}
         self.views = [FleetView(ManualClock()) for _ in range(DAEMONS)]
         self.versions = [0] * DAEMONS
-        self.messages: list[list[PartNews]] = [[] for _ in range(DAEMONS)]
+        self.messages: list[list[PartUpdate]] = [[] for _ in range(DAEMONS)]
         self.writes: list[ViewItem] = []
         self.starts = dict.fromkeys(NAMES, 1)
         self.late_writes: set[int] = set()
@@ -103,7 +103,7 @@
         later = [each for each in self.writes if part_of(each.kind) is part]
         items = tuple(each for each in later if each.revision > after)
         if items:
-            news = PartNews(part, after, Extent(self.revision, items[-1].revision), items)
+            news = PartUpdate(part, after, Extent(self.revision, items[-1].revision), items)
             self.messages[daemon].append(news)
 
     @rule(daemon=daemon_numbers)
@@ -113,14 +113,14 @@
             return
         news = self.messages[daemon].pop()
         view = self.views[daemon]
-        items = (*news.items, *view.removals_in(news))
+        items = (*news.items, *view.implied_removals(news))
         removals = tuple(each for each in items if each.removed)
-        view.take_over(msgspec.structs.replace(news, items=items), "store", lapses=removals)
+        view.apply_update(msgspec.structs.replace(news, items=items), "store", lapses=removals)
 
     @rule(source=daemon_numbers, asker=daemon_numbers, part=st.sampled_from(FleetPart))
     def daemon_asks_a_peer(self, source: int, asker: int, part: FleetPart) -> None:
         known = self.views[asker].knowledge(part)
-        self.messages[asker].append(self.views[source].news_for(part, known))
+        self.messages[asker].append(self.views[source].update_for(part, known))
 
     @rule(daemon=daemon_numbers, pick=st.integers(0, 100), keep=st.booleans())
     def message_arrives_in_any_order_and_perhaps_again(
@@ -147,13 +147,13 @@
         wanted = ItemKind.BACK_END if part is FleetPart.BACK_ENDS else ItemKind.CONFIGURATION
         return tuple(each for each in self.held.values() if each.kind is wanted)
 
-    def _snapshot(self, part: FleetPart) -> PartNews:
+    def _snapshot(self, part: FleetPart) -> PartUpdate:
         items = self._items_of(part)
         last = max((each.revision for each in items), default=0)
-        return PartNews(part, 0, Extent(self.revision, last), items, is_snapshot=True)
+        return PartUpdate(part, 0, Extent(self.revision, last), items, is_snapshot=True)
 
-    def _deliver(self, daemon: int, news: PartNews) -> None:
-        self.views[daemon].take_over(news, "store or peer")
+    def _deliver(self, daemon: int, news: PartUpdate) -> None:
+        self.views[daemon].apply_update(news, "store or peer")
 
     @invariant()
     def no_configuration_goes_back(self) -> None:
@@ -209,7 +209,7 @@
     def teardown(self) -> None:
         for view in self.views:
             for part in FleetPart:
-                view.take_over(self._snapshot(part), "store")
+                view.apply_update(self._snapshot(part), "store")
         expected = {name for kind, name in self.held if kind is ItemKind.BACK_END}
         for view in self.views:
             assert set(view.back_ends("s")) == expected
