--- a/packages/kitekeel-daemon/src/kitekeel_daemon/answer_headers.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/answer_headers.py
@@ -13,11 +13,11 @@
 import msgspec
 
 from kitekeel_steering.back_end_load import AnsweredLoad
-from kitekeel_steering.fleet_items import LONGEST_COLD_SECONDS, MOST_SLOTS
+from kitekeel_steering.fleet_items import MAX_COLD_SECONDS, MAX_SLOTS
 from kitekeel_steering.ini import parse_duration
 
 # Far more requests than a back end with the maximum number of slots can have running and waiting.
-_MAX_REQUESTS = 100 * MOST_SLOTS
+_MAX_REQUESTS = 100 * MAX_SLOTS
 # Above the throughput of any back end; a higher limit is treated as no limit.
 _MAX_RATE = 1_000_000.0
 _DECIMAL = re.compile(rb"\d{1,20}(\.\d{0,20})?|\.\d{1,20}")
@@ -48,7 +48,7 @@
     except (ValueError, OverflowError):
         return None
     is_possible = 0 <= running <= _MAX_REQUESTS and 0 <= waiting <= _MAX_REQUESTS
-    if not is_possible or not 0 <= slots <= MOST_SLOTS:
+    if not is_possible or not 0 <= slots <= MAX_SLOTS:
         return None
     return AnsweredLoad(running, waiting, slots)
 
@@ -56,7 +56,7 @@
 def read_cold_seconds(value: bytes | None) -> float | None:
     """Return how many seconds the back end stays cold, from a duration such as ``350ms``."""
     seconds = parse_duration(value.decode("latin-1")) if value is not None else None
-    if seconds is None or seconds > LONGEST_COLD_SECONDS:
+    if seconds is None or seconds > MAX_COLD_SECONDS:
         return None
     return seconds
 
--- a/packages/kitekeel-platform/src/kitekeel_platform/configuration_store.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/configuration_store.py
@@ -24,7 +24,7 @@
 )
 from kitekeel_steering.model import (
     CONFIGURATION_KEY,
-    REMEMBERED_COMMANDS,
+    MAX_COMMAND_RECORDS,
     CommandRecord,
     Configuration,
     encode_configuration,
@@ -115,7 +115,7 @@
         changed = msgspec.structs.replace(
             change(base),
             revision=revision,
-            commands=(*base.commands, record)[-REMEMBERED_COMMANDS:],
+            commands=(*base.commands, record)[-MAX_COMMAND_RECORDS:],
         )
         document = encode_configuration(changed)
         version = self._client.write(CONFIGURATION_KEY, document, base.revision)
--- a/packages/kitekeel-steering/src/kitekeel_steering/fleet_items.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/fleet_items.py
@@ -14,8 +14,8 @@
 
 # Larger values in the record or the answers of a back end are treated as invalid. The largest back
 # ends known have 9 slots, and the slowest to warm up stay cold for 12 s.
-MOST_SLOTS = 100_000
-LONGEST_COLD_SECONDS = 3_600.0
+MAX_SLOTS = 100_000
+MAX_COLD_SECONDS = 3_600.0
 
 
 def may_be_same_process(started_at_ms: int, other_started_at_ms: int) -> bool:
--- a/packages/kitekeel-steering/src/kitekeel_steering/model.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/model.py
@@ -7,7 +7,7 @@
 import msgspec
 
 CONFIGURATION_KEY = "kitekeel/configuration"
-REMEMBERED_COMMANDS = 200
+MAX_COMMAND_RECORDS = 200
 
 
 class Region(msgspec.Struct, frozen=True):
--- a/tests/test_header_fuzz.py
+++ b/tests/test_header_fuzz.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from kitekeel_daemon.answer_headers import read_cold_seconds, read_load
-from kitekeel_steering.fleet_items import LONGEST_COLD_SECONDS, MOST_SLOTS
+from kitekeel_steering.fleet_items import MAX_COLD_SECONDS, MAX_SLOTS
 from kitekeel_steering.proxied_messages import end_to_end, find_cookie, find_header
 from kitekeel_steering.stated_numbers import LARGEST_NUMBER, whole_number
 
@@ -34,14 +34,14 @@
     load = read_load(value)
     if load is not None:
         assert min(load.running, load.waiting, load.slots) >= 0
-        assert load.slots <= MOST_SLOTS
+        assert load.slots <= MAX_SLOTS
 
 
 @given(DURATIONS)
 @example(b"1e300s")
 def test_a_time_to_stay_cold_is_possible_or_missing(value: bytes) -> None:
     seconds = read_cold_seconds(value)
-    assert seconds is None or 0.0 <= seconds <= LONGEST_COLD_SECONDS
+    assert seconds is None or 0.0 <= seconds <= MAX_COLD_SECONDS
 
 
 @pytest.mark.parametrize("value", [b"1e300,0,5", b"0,0,1e300", b"1,2", b"-1,0,5", None])
