--- a/packages/kitekeel-daemon/src/kitekeel_daemon/admissions.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/admissions.py
@@ -20,7 +20,7 @@
         identity: who holds the slots.
         clock: measures waiting times.
         timing: lifetimes and intervals of grants.
-        most_waiting: most requests that may wait in this daemon for all services together, since
+        max_waiting: most requests that may wait in this daemon for all services together, since
             each occupies a thread. If the classes have more queue places in total, the places of
             every class are reduced in proportion.
         on_demand: called with a pool from which slots should be requested.
@@ -31,13 +31,13 @@
         identity: HolderIdentity,
         clock: Clock,
         timing: GrantTiming,
-        most_waiting: int,
+        max_waiting: int,
         on_demand: Callable[[PoolName], None],
     ) -> None:
         self._identity = identity
         self._clock = clock
         self._timing = timing
-        self._most_waiting = most_waiting
+        self._max_waiting = max_waiting
         self._on_demand = on_demand
         self._lock = threading.Lock()
         self._by_service: dict[str, ServiceAdmission] = {}
@@ -73,7 +73,7 @@
             for service in self._configuration.services
             for each in service.classes
         )
-        return min(1.0, self._most_waiting / max(1, places))
+        return min(1.0, self._max_waiting / max(1, places))
 
     def _get_or_create(self, service: str) -> ServiceAdmission:
         admission = self._by_service.get(service)
