--- a/packages/kitekeel-daemon/src/kitekeel_daemon/request_guard.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/request_guard.py
@@ -22,7 +22,7 @@
 from kitekeel_peers.rpc import PeerClient, PeerServer
 from kitekeel_steering.clock import Clock
 from kitekeel_steering.crash_ledger import OWN, CrashLedger, LedgerChange
-from kitekeel_steering.errors import EndsBackEndsError
+from kitekeel_steering.errors import RequestQuarantinedError
 from kitekeel_steering.http_messages import ForwardedRequest
 from kitekeel_steering.metrics import Metrics
 from kitekeel_steering.model import BackEnd
@@ -65,12 +65,12 @@
         """Return if a request may be sent.
 
         Raises:
-            EndsBackEndsError: the request is quarantined because it crashes back ends.
+            RequestQuarantinedError: the request is quarantined because it crashes back ends.
         """
         if identity and self.ledger.is_quarantined(identity):
             self._metrics.increment("requests.quarantined")
             text = f"this request crashes the back ends that run it ({identity})"
-            raise EndsBackEndsError(text, _RETRY_AFTER_SECONDS)
+            raise RequestQuarantinedError(text, _RETRY_AFTER_SECONDS)
 
     def note_broken(self, identity: str, service: str, back_end: BackEnd) -> None:
         """Note a broken exchange, and check in the background whether the back end has ended."""
--- a/packages/kitekeel-steering/src/kitekeel_steering/errors.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/errors.py
@@ -105,7 +105,7 @@
     code = "connect-failed"
 
 
-class EndsBackEndsError(NotRunError):
+class RequestQuarantinedError(NotRunError):
     """The request is quarantined because back-end processes end when they run it."""
 
     code = "ends-back-ends"
--- a/tests/test_request_guard.py
+++ b/tests/test_request_guard.py
@@ -21,7 +21,11 @@
 from kitekeel_peers.messages import MemberRecord
 from kitekeel_peers.rpc import PeerClient, PeerServer
 from kitekeel_steering.clock import SystemClock
-from kitekeel_steering.errors import ConnectionBrokenError, EndsBackEndsError, OutcomeUnknownError
+from kitekeel_steering.errors import (
+    ConnectionBrokenError,
+    OutcomeUnknownError,
+    RequestQuarantinedError,
+)
 from kitekeel_steering.events import EventLog, HybridClock
 from kitekeel_steering.http_messages import ForwardedRequest, StreamedAnswer
 from kitekeel_steering.metrics import MemoryMetrics
@@ -79,12 +83,12 @@
     runner, _ = runner_at(*addresses, slots=50, forwarder=forwarder, guard=guard)
     with running(guard):
         for number in range(4):
-            with pytest.raises((OutcomeUnknownError, EndsBackEndsError)):
+            with pytest.raises((OutcomeUnknownError, RequestQuarantinedError)):
                 runner.run(caller_request(2000, f"r{number}", "crash"), time.monotonic() + 2.0)
         assert until_quarantined(guard)
         sent = len(forwarder.sent_to)
         for number in range(10):
-            with pytest.raises(EndsBackEndsError) as refusal:
+            with pytest.raises(RequestQuarantinedError) as refusal:
                 runner.run(caller_request(2000, f"s{number}", "crash"), time.monotonic() + 2.0)
         assert refusal.value.retry_after_seconds >= 10.0
         assert len(forwarder.sent_to) == sent
@@ -137,7 +141,7 @@
             guard=guards[0],
         )
         for number in range(4):
-            with pytest.raises((OutcomeUnknownError, EndsBackEndsError)):
+            with pytest.raises((OutcomeUnknownError, RequestQuarantinedError)):
                 runner.run(caller_request(2000, f"r{number}", "crash"), time.monotonic() + 2.0)
         assert until_quarantined(guards[1])
     for server in servers:
