--- a/packages/kitekeel-daemon/src/kitekeel_daemon/crash_guard.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/crash_guard.py
@@ -144,7 +144,7 @@
 
         A granted careful try is returned only once; :meth:`give_back` returns it unused.
         """
-        if not self.ledger.may_know(identify_target(request)):
+        if not self.ledger.may_have_record(identify_target(request)):
             return _FREE
         identity = identify(request, self._names)
         if not self.ledger.is_quarantined(identity):
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/request_guard.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/request_guard.py
@@ -79,7 +79,7 @@
 
     def note_answered(self, identity: str) -> None:
         """Note that a back end answered a request completely and without a server error."""
-        if identity and self.ledger.may_know(target_of(identity)):
+        if identity and self.ledger.may_have_record(target_of(identity)):
             self._call(self.ledger.note_answered, identity)
 
     def _call(self, function: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
--- a/packages/kitekeel-steering/src/kitekeel_steering/crash_ledger.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/crash_ledger.py
@@ -75,7 +75,7 @@
         self._targets: Counter[str] = Counter()
         self._quarantined: frozenset[str] = frozenset()
 
-    def may_know(self, target: str) -> bool:
+    def may_have_record(self, target: str) -> bool:
         """Return whether a request with this target may have a record.
 
         A cheap check for the request path; the answer is mostly ``False``.
--- a/tests/test_crash_ledger.py
+++ b/tests/test_crash_ledger.py
@@ -163,7 +163,7 @@
     assert found.records() == ()
     found.merge(kept, "peer")
     assert found.is_empty()
-    assert not found.may_know(TARGET)
+    assert not found.may_have_record(TARGET)
 
 
 def test_a_flood_of_other_requests_pushes_out_none_that_is_quarantined() -> None:
