--- a/packages/kitekeel-peers/src/kitekeel_peers/quota_pools.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/quota_pools.py
@@ -144,7 +144,7 @@
             pool.add(want.tenant, shares, -want.tokens, now, daemons)
             return 0
         if is_keeper and not shares.home:
-            return pool.take_part(want.tenant, shares, want.tokens, now, daemons)
+            return pool.take_for_transfer(want.tenant, shares, want.tokens, now, daemons)
         return pool.take(want.tenant, shares, want.tokens, now, daemons)
 
     def _shortfalls(self, request: QuotaRequest) -> tuple[QuotaWant, ...]:
@@ -279,7 +279,7 @@
             return
         self._metrics.increment("quota.tokens-from-other-regions", tokens)
         shares = self._shares_of(want.tenant) or want.shares
-        self._pools[group].move_in(want.tenant, shares, tokens, now, self._daemons())
+        self._pools[group].add_transferred(want.tenant, shares, tokens, now, self._daemons())
 
     def _adapt_interval(self, tenant: str, has_gained: bool) -> None:
         if has_gained:
--- a/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
@@ -241,7 +241,7 @@
         level.tokens -= granted - from_moved
         return granted
 
-    def take_part(
+    def take_for_transfer(
         self, tenant: str, shares: QuotaShares, wanted: float, now: float, daemons: int
     ) -> int:
         """Remove tokens for another keeper, at most half of those earned here; return how many."""
@@ -258,7 +258,7 @@
         most = self._max_tokens(tenant, shares, now, daemons)
         level.tokens = min(level.tokens + tokens, most)
 
-    def move_in(
+    def add_transferred(
         self, tenant: str, shares: QuotaShares, tokens: float, now: float, daemons: int
     ) -> None:
         """Add tokens that another keeper transferred.
--- a/tests/quota_simulation.py
+++ b/tests/quota_simulation.py
@@ -183,10 +183,10 @@
         for other in range(REGIONS):
             if other != region:
                 self.messages += 1
-                taken = self._pools[other].take_part(
+                taken = self._pools[other].take_for_transfer(
                     "t", self._shares, math.ceil(lacking), now, self._daemons
                 )
-                pool.move_in("t", self._shares, taken, now, self._daemons)
+                pool.add_transferred("t", self._shares, taken, now, self._daemons)
 
 
 def simulate(
--- a/tests/test_quota_model.py
+++ b/tests/test_quota_model.py
@@ -78,8 +78,10 @@
 
     @rule(number=daemon_numbers, other=daemon_numbers, wanted=st.integers(1, 200))
     def a_keeper_asks_another(self, number: int, other: int, wanted: int) -> None:
-        taken = self.daemons[other].pool.take_part("t", self.shares, wanted, self.now, DAEMONS)
-        self.daemons[number].pool.move_in("t", self.shares, taken, self.now, DAEMONS)
+        taken = self.daemons[other].pool.take_for_transfer(
+            "t", self.shares, wanted, self.now, DAEMONS
+        )
+        self.daemons[number].pool.add_transferred("t", self.shares, taken, self.now, DAEMONS)
 
     @rule(number=daemon_numbers, keeper=daemon_numbers)
     def a_token_is_given_back(self, number: int, keeper: int) -> None:
@@ -141,7 +143,7 @@
     @rule(number=daemon_numbers, other=daemon_numbers, wanted=st.integers(1, 200))
     def a_keeper_asks_another(self, number: int, other: int, wanted: int) -> None:
         taken = self.daemons[other].pool.take("t", self.shares, wanted, self.now, DAEMONS)
-        self.daemons[number].pool.move_in("t", self.shares, taken, self.now, DAEMONS)
+        self.daemons[number].pool.add_transferred("t", self.shares, taken, self.now, DAEMONS)
 
     @rule(number=daemon_numbers, home=daemon_numbers, is_answered=st.booleans())
     def a_keeper_forwards_its_tokens(self, number: int, home: int, is_answered: bool) -> None:
