--- a/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
@@ -27,10 +27,10 @@
 from kitekeel_steering.tenant_quota import (
     LENDING_SECONDS,
     Claim,
-    LentTime,
     OwnEarnings,
     QuotaShares,
     QuotaStock,
+    UnlentTime,
 )
 
 QUOTA = "Quota"
@@ -73,7 +73,7 @@
     """State of one daemon's exchange with the keeper of one group of tenants."""
 
     def __init__(self, now: float) -> None:
-        self.lent = LentTime(now)
+        self.unlent = UnlentTime(now)
         self.waiting: dict[str, _WaitingRequests] = {}
         self.returned: dict[str, QuotaWant] = {}
         self.task: asyncio.Task[None] | None = None
@@ -227,7 +227,7 @@
         earnings = group.earnings.get(tenant)
         if earnings is None:
             rounding = self._rounding(tenant)
-            earnings = group.earnings[tenant] = OwnEarnings(rounding, now - group.lent.age(now))
+            earnings = group.earnings[tenant] = OwnEarnings(rounding, now - group.unlent.age(now))
         return earnings.take(shares, self._daemons(), now)
 
     async def _lend_regularly(self, number: int) -> None:
@@ -322,7 +322,7 @@
         processed, and counting its seconds twice would admit requests beyond the limit.
         """
         now = self._clock.monotonic()
-        seconds = 0.0 if group.is_alone else group.lent.take(now)
+        seconds = 0.0 if group.is_alone else group.unlent.take(now)
         # Shortly after a start, the assumed count exceeds the observed one. It reduces only this
         # daemon's loan: a keeper would apply it to all its lenders.
         seen_share = self._seen_daemons() / max(1, self._daemons())
@@ -348,7 +348,7 @@
                 continue
             self._note_keeper(number, group, True, "")
             return reply
-        group.lent.give_back(seconds)
+        group.unlent.give_back(seconds)
         self._note_keeper(number, group, False, reason)
         return None
 
@@ -359,7 +359,7 @@
         group.earnings.clear()
         if is_found:
             # Discard the time already used for own tokens, so that it is not lent as well.
-            group.lent.take(self._clock.monotonic())
+            group.unlent.take(self._clock.monotonic())
         self._on_keeper(number, is_found, reason)
 
     def _resolve_from_own_tokens(
--- a/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
@@ -135,7 +135,7 @@
 _ADMITTED = frozenset({Claim.FROM_STOCK, Claim.FROM_KEEPER, Claim.EARNED_ALONE})
 
 
-class LentTime:
+class UnlentTime:
     """The seconds that one daemon has not lent yet.
 
     Args:
--- a/tests/quota_simulation.py
+++ b/tests/quota_simulation.py
@@ -14,10 +14,10 @@
 from kitekeel_steering.demand_rate import DemandRate
 from kitekeel_steering.tenant_quota import (
     LENDING_SECONDS,
-    LentTime,
     QuotaMargin,
     QuotaPool,
     QuotaStock,
+    UnlentTime,
     quota_shares,
 )
 from kitekeel_steering.tenants import Tenant
@@ -131,7 +131,7 @@
         self._shares = shares
         self._daemons = daemons
         self._pools = [QuotaPool() for _ in range(REGIONS)]
-        self._lent = [LentTime(0.0) for _ in range(daemons)]
+        self._unlent = [UnlentTime(0.0) for _ in range(daemons)]
         self._stocks = [QuotaStock((number + 0.5) / daemons) for number in range(daemons)]
         self._demands = [DemandRate(0.0) for _ in range(REGIONS)]
         self._asked_at = [-9.0] * daemons
@@ -156,14 +156,14 @@
 
     def step(self, now: float) -> None:
         for daemon in range(self._daemons):
-            if self._lent[daemon].age(now) >= LENDING_SECONDS * 0.9:
+            if self._unlent[daemon].age(now) >= LENDING_SECONDS * 0.9:
                 self._exchange(daemon, now, 0)
 
     def _exchange(self, daemon: int, now: float, needed: int) -> bool:
         self.messages += 1
         region = daemon % REGIONS
         pool, stock = self._pools[region], self._stocks[daemon]
-        pool.lend(str(daemon), self._lent[daemon].take(now), self._daemons, now)
+        pool.lend(str(daemon), self._unlent[daemon].take(now), self._daemons, now)
         is_busy = now - self._asked_at[daemon] < 2.0
         room = stock.most(self._shares, self._daemons) - stock.tokens if is_busy else 0
         granted = pool.take("t", self._shares, needed + max(0, room), now, self._daemons)
--- a/tests/test_back_end_quota.py
+++ b/tests/test_back_end_quota.py
@@ -17,8 +17,8 @@
 from kitekeel_steering.tenant_quota import (
     BACK_END_LIMIT_MARGIN,
     LENDING_SECONDS,
-    LentTime,
     QuotaStock,
+    UnlentTime,
     back_end_shares,
 )
 
@@ -93,7 +93,7 @@
             MemoryMetrics(),
             lambda: {LIMIT: fleet.shares},
         )
-        self.lent = LentTime(fleet.clock.now)
+        self.unlent = UnlentTime(fleet.clock.now)
         self.stock = QuotaStock(fleet.random.random())
         self.next_loan_at = fleet.clock.now + fleet.random.uniform(0.0, LENDING_SECONDS)
         self.refused_until = 0.0
@@ -120,7 +120,7 @@
     def _exchange(self, wanted: int) -> float:
         fleet = self.fleet
         wants = (QuotaWant(LIMIT, wanted, fleet.shares),) if wanted else ()
-        seconds = self.lent.take(fleet.clock.now)
+        seconds = self.unlent.take(fleet.clock.now)
         request = QuotaRequest(0, self.address, seconds, fleet.daemons, wants)
         reply: QuotaReply = fleet.by_address[f"{self.region}:0"].pools.serve(request)
         return sum(each.tokens for each in reply.grants)
--- a/tests/test_quota_model.py
+++ b/tests/test_quota_model.py
@@ -11,11 +11,11 @@
 
 from kitekeel_steering.tenant_quota import (
     BACK_END_LIMIT_MARGIN,
-    LentTime,
     OwnEarnings,
     QuotaMargin,
     QuotaPool,
     QuotaStock,
+    UnlentTime,
     back_end_shares,
     quota_shares,
 )
@@ -37,7 +37,7 @@
         self.restart(now)
 
     def restart(self, now: float) -> None:
-        self.lent = LentTime(now)
+        self.unlent = UnlentTime(now)
         self.pool = QuotaPool(lambda _tenant: self.rounding)
         self.stock = QuotaStock(self.rounding)
         self.earnings: OwnEarnings | None = None
@@ -98,7 +98,7 @@
     def earns_alone(self, number: int, requests: int) -> None:
         daemon = self.daemons[number]
         if daemon.earnings is None:
-            daemon.lent.take(self.now)
+            daemon.unlent.take(self.now)
             daemon.earnings = OwnEarnings(daemon.rounding, self.now)
         for _ in range(requests):
             taken = daemon.stock.take(self.shares, DAEMONS)
@@ -109,12 +109,12 @@
     def _ask(self, number: int, keeper: int, requests: int, is_answered: bool = True) -> None:
         daemon, asked = self.daemons[number], self.daemons[keeper]
         if daemon.earnings is not None:
-            daemon.lent.take(self.now)
+            daemon.unlent.take(self.now)
             daemon.earnings = None
         taken = 0
         while taken < requests and daemon.stock.take(self.shares, DAEMONS):
             taken += 1
-        asked.pool.lend(daemon.name, daemon.lent.take(self.now), DAEMONS, self.now)
+        asked.pool.lend(daemon.name, daemon.unlent.take(self.now), DAEMONS, self.now)
         room = daemon.stock.most(self.shares, DAEMONS)
         wanted = requests - taken + room
         granted = asked.pool.take("t", self.shares, wanted, self.now, DAEMONS)
@@ -211,7 +211,7 @@
     shares = quota_shares(Tenant("t", rate=40.0), margin)
     assert shares is not None
     pools = [QuotaPool() for _ in range(regions)]
-    lent = [LentTime(0.0) for _ in range(daemons)]
+    lent = [UnlentTime(0.0) for _ in range(daemons)]
     admitted = 0
     for step in range(1, 61):
         now = step * 0.5
