--- a/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
@@ -27,9 +27,9 @@
 from kitekeel_steering.tenant_quota import (
     LENDING_SECONDS,
     Claim,
-    OwnEarnings,
     QuotaShares,
     QuotaStock,
+    StandaloneTokens,
     UnlentTime,
 )
 
@@ -78,7 +78,7 @@
         self.returned: dict[str, QuotaWant] = {}
         self.task: asyncio.Task[None] | None = None
         self.is_alone = False
-        self.earnings: dict[str, OwnEarnings] = {}
+        self.earnings: dict[str, StandaloneTokens] = {}
 
 
 class QuotaExchange:
@@ -227,7 +227,9 @@
         earnings = group.earnings.get(tenant)
         if earnings is None:
             rounding = self._rounding(tenant)
-            earnings = group.earnings[tenant] = OwnEarnings(rounding, now - group.unlent.age(now))
+            earnings = group.earnings[tenant] = StandaloneTokens(
+                rounding, now - group.unlent.age(now)
+            )
         return earnings.take(shares, self._daemons(), now)
 
     async def _lend_regularly(self, number: int) -> None:
--- a/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
@@ -363,7 +363,7 @@
         return tokens - added
 
 
-class OwnEarnings:
+class StandaloneTokens:
     """The tokens of one tenant that a daemon earns for itself while it has no keeper.
 
     Args:
--- a/tests/test_quota_model.py
+++ b/tests/test_quota_model.py
@@ -11,10 +11,10 @@
 
 from kitekeel_steering.tenant_quota import (
     BACK_END_LIMIT_MARGIN,
-    OwnEarnings,
     QuotaMargin,
     QuotaPool,
     QuotaStock,
+    StandaloneTokens,
     UnlentTime,
     back_end_shares,
     quota_shares,
@@ -40,7 +40,7 @@
         self.unlent = UnlentTime(now)
         self.pool = QuotaPool(lambda _tenant: self.rounding)
         self.stock = QuotaStock(self.rounding)
-        self.earnings: OwnEarnings | None = None
+        self.earnings: StandaloneTokens | None = None
 
 
 class QuotaModel(RuleBasedStateMachine):
@@ -99,7 +99,7 @@
         daemon = self.daemons[number]
         if daemon.earnings is None:
             daemon.unlent.take(self.now)
-            daemon.earnings = OwnEarnings(daemon.rounding, self.now)
+            daemon.earnings = StandaloneTokens(daemon.rounding, self.now)
         for _ in range(requests):
             taken = daemon.stock.take(self.shares, DAEMONS)
             if not taken and not daemon.earnings.take(self.shares, DAEMONS, self.now):
