--- a/packages/kitekeel-peers/src/kitekeel_peers/quota_pools.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/quota_pools.py
@@ -21,7 +21,7 @@
 from kitekeel_steering.demand_rate import DemandRate
 from kitekeel_steering.errors import PeerError
 from kitekeel_steering.metrics import Metrics
-from kitekeel_steering.tenant_quota import QuotaPool, QuotaShares, without_rounding
+from kitekeel_steering.tenant_quota import QuotaPool, QuotaShares, zero_rounding
 
 # A pool that holds fewer tokens than its demand during this time requests more from other regions.
 _RESERVE_SECONDS = 0.5
@@ -73,7 +73,7 @@
         generator: random.Random,
         metrics: Metrics,
         limits_with_home: Callable[[], Mapping[str, QuotaShares]],
-        rounding_of: Callable[[str], float] = without_rounding,
+        rounding_of: Callable[[str], float] = zero_rounding,
     ) -> None:
         self._limits_with_home = limits_with_home
         self._forward_after: dict[str, float] = {}
--- a/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
@@ -188,7 +188,7 @@
     heard_at: float
 
 
-def without_rounding(_tenant: str) -> float:
+def zero_rounding(_tenant: str) -> float:
     """Return 0, for pools that ignore fractions of a token."""
     return 0.0
 
@@ -203,7 +203,7 @@
         rounding_of: returns a tenant's rounding, as for :class:`QuotaStock`.
     """
 
-    def __init__(self, rounding_of: Callable[[str], float] = without_rounding) -> None:
+    def __init__(self, rounding_of: Callable[[str], float] = zero_rounding) -> None:
         self._rounding_of = rounding_of
         self._lent = 0.0
         self._levels: dict[str, _Level] = {}
