--- a/packages/kitekeel-daemon/src/kitekeel_daemon/back_end_limiter.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/back_end_limiter.py
@@ -30,7 +30,7 @@
 from kitekeel_steering.placement_policy import Candidate
 from kitekeel_steering.proxied_messages import HeaderNames, RawHeaders, find_headers
 from kitekeel_steering.shared_limits import DaemonCount
-from kitekeel_steering.tenant_quota import Claim, QuotaMargin, QuotaShares, back_end_shares
+from kitekeel_steering.tenant_quota import QuotaMargin, QuotaShares, TokenClaim, back_end_shares
 
 BACK_END_QUOTA = "BackEndQuota"
 _GROUPS = 1
@@ -207,8 +207,8 @@
             self.limits.forget(item.name)
             self._logged_unreadable.discard(item.name)
 
-    def _next_claim_at(self, name: str, claim: Claim) -> float:
-        if claim is Claim.NONE_EARNED_ALONE or self._quota is None:
+    def _next_claim_at(self, name: str, claim: TokenClaim) -> float:
+        if claim is TokenClaim.NONE_EARNED_ALONE or self._quota is None:
             return self._clock.monotonic() + _ALONE_RETRY_SECONDS
         return self._quota.paused_until(name)
 
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/request_recorder.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/request_recorder.py
@@ -19,7 +19,7 @@
     RequestSent,
     TenantOverLimit,
 )
-from kitekeel_steering.tenant_quota import Claim
+from kitekeel_steering.tenant_quota import TokenClaim
 from kitekeel_steering.tenants import Tenant
 
 
@@ -65,7 +65,7 @@
             )
         )
 
-    def note_over_limit(self, routed: RoutedRequest, tenant: Tenant, claim: Claim) -> None:
+    def note_over_limit(self, routed: RoutedRequest, tenant: Tenant, claim: TokenClaim) -> None:
         """Record that a request was refused because its tenant was over its rate limit."""
         routed.messages.append(
             TenantOverLimit(
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/tenant_admission.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/tenant_admission.py
@@ -17,7 +17,7 @@
 from kitekeel_steering.log_messages import QuotaKeeperFound, QuotaKeeperLost
 from kitekeel_steering.routing import RouteTable
 from kitekeel_steering.shared_limits import DaemonCount
-from kitekeel_steering.tenant_quota import Claim, QuotaMargin, QuotaShares, quota_shares
+from kitekeel_steering.tenant_quota import QuotaMargin, QuotaShares, TokenClaim, quota_shares
 from kitekeel_steering.tenant_reports import TenantsReply
 from kitekeel_steering.tenants import Tenant
 
@@ -86,7 +86,7 @@
         if self._exchange is not None:
             self._exchange.close()
 
-    async def claim(self, tenant: Tenant | None) -> Claim | None:
+    async def claim(self, tenant: Tenant | None) -> TokenClaim | None:
         """Claim a token for one request; return ``None`` if no limit applies."""
         if tenant is None:
             return None
--- a/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
@@ -26,10 +26,10 @@
 from kitekeel_steering.metrics import Metrics
 from kitekeel_steering.tenant_quota import (
     LENDING_SECONDS,
-    Claim,
     QuotaShares,
     QuotaStock,
     StandaloneTokens,
+    TokenClaim,
     UnlentTime,
 )
 
@@ -171,18 +171,18 @@
         """Make no further calls."""
         self._threads.shutdown(wait=False, cancel_futures=True)
 
-    async def claim(self, tenant: str, shares: QuotaShares) -> Claim:
+    async def claim(self, tenant: str, shares: QuotaShares) -> TokenClaim:
         """Try to take a token for one request."""
         now = self._clock.monotonic()
         self._asked_at[tenant] = now
         if self._stock(tenant).take(shares, self._daemons()):
-            return Claim.FROM_STOCK
+            return TokenClaim.FROM_STOCK
         group = self._groups[self._group_of(tenant)]
         if group.is_alone:
             is_taken = self._take_own_token(group, tenant, shares, now)
-            return Claim.EARNED_ALONE if is_taken else Claim.NONE_EARNED_ALONE
+            return TokenClaim.EARNED_ALONE if is_taken else TokenClaim.NONE_EARNED_ALONE
         if now < self._refused_until.get(tenant, 0.0):
-            return Claim.NONE_A_MOMENT_AGO
+            return TokenClaim.NONE_A_MOMENT_AGO
         waiting = group.waiting.setdefault(tenant, _WaitingRequests(shares))
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         waiting.futures.append(future)
@@ -193,7 +193,7 @@
             if future.done() and not future.cancelled() and future.result():
                 self.give_back(tenant, shares)
             raise
-        return Claim.FROM_KEEPER if is_taken else Claim.KEEPER_HAD_NONE
+        return TokenClaim.FROM_KEEPER if is_taken else TokenClaim.KEEPER_HAD_NONE
 
     def give_back(self, tenant: str, shares: QuotaShares) -> None:
         """Return the token of a request that no back end executed."""
--- a/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
@@ -116,7 +116,7 @@
     return max(shares.pooled, shares.rate * _MAX_LOAN_SECONDS) / max(1, daemons)
 
 
-class Claim(enum.Enum):
+class TokenClaim(enum.Enum):
     """The outcome of a request's claim for a token, and what decided it."""
 
     FROM_STOCK = "from-stock"
@@ -132,7 +132,7 @@
         return self in _ADMITTED
 
 
-_ADMITTED = frozenset({Claim.FROM_STOCK, Claim.FROM_KEEPER, Claim.EARNED_ALONE})
+_ADMITTED = frozenset({TokenClaim.FROM_STOCK, TokenClaim.FROM_KEEPER, TokenClaim.EARNED_ALONE})
 
 
 class UnlentTime:
