--- a/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/quota_exchange.py
@@ -298,7 +298,7 @@
                 continue
             shares[tenant] = found
             stock = self._stock(tenant)
-            wanted[tenant] += max(0, stock.most(found, self._daemons()) - stock.tokens)
+            wanted[tenant] += max(0, stock.max_tokens(found, self._daemons()) - stock.tokens)
         return tuple(
             QuotaWant(name, count, shares[name]) for name, count in wanted.items() if count > 0
         )
--- a/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/tenant_quota.py
@@ -343,13 +343,13 @@
         self._rounding = rounding
         self.tokens = 0
 
-    def most(self, shares: QuotaShares, daemons: int) -> int:
+    def max_tokens(self, shares: QuotaShares, daemons: int) -> int:
         """Return the maximum number of tokens in this stock."""
         return math.floor(shares.stocked / max(1, daemons) + self._rounding)
 
     def take(self, shares: QuotaShares, daemons: int) -> bool:
         """Take a token; return whether there was one."""
-        self.tokens = min(self.tokens, self.most(shares, daemons))
+        self.tokens = min(self.tokens, self.max_tokens(shares, daemons))
         if self.tokens <= 0:
             return False
         self.tokens -= 1
@@ -357,7 +357,7 @@
 
     def add(self, shares: QuotaShares, daemons: int, tokens: int) -> int:
         """Add tokens up to the maximum; return how many did not fit."""
-        room = max(0, self.most(shares, daemons) - self.tokens)
+        room = max(0, self.max_tokens(shares, daemons) - self.tokens)
         added = min(room, tokens)
         self.tokens += added
         return tokens - added
--- a/tests/quota_simulation.py
+++ b/tests/quota_simulation.py
@@ -165,7 +165,7 @@
         pool, stock = self._pools[region], self._stocks[daemon]
         pool.lend(str(daemon), self._unlent[daemon].take(now), self._daemons, now)
         is_busy = now - self._asked_at[daemon] < 2.0
-        room = stock.most(self._shares, self._daemons) - stock.tokens if is_busy else 0
+        room = stock.max_tokens(self._shares, self._daemons) - stock.tokens if is_busy else 0
         granted = pool.take("t", self._shares, needed + max(0, room), now, self._daemons)
         self._demands[region].note(needed + max(0, room), now)
         self._pull(region, now)
--- a/tests/test_back_end_quota.py
+++ b/tests/test_back_end_quota.py
@@ -109,7 +109,7 @@
             return True
         if self.fleet.clock.now < self.refused_until:
             return False
-        granted = self._exchange(1 + self.stock.most(shares, daemons) - self.stock.tokens)
+        granted = self._exchange(1 + self.stock.max_tokens(shares, daemons) - self.stock.tokens)
         if not granted:
             pause = self.fleet.random.uniform(LEAST_PAUSE_SECONDS, MOST_PAUSE_SECONDS)
             self.refused_until = self.fleet.clock.now + pause
--- a/tests/test_quota_model.py
+++ b/tests/test_quota_model.py
@@ -115,7 +115,7 @@
         while taken < requests and daemon.stock.take(self.shares, DAEMONS):
             taken += 1
         asked.pool.lend(daemon.name, daemon.unlent.take(self.now), DAEMONS, self.now)
-        room = daemon.stock.most(self.shares, DAEMONS)
+        room = daemon.stock.max_tokens(self.shares, DAEMONS)
         wanted = requests - taken + room
         granted = asked.pool.take("t", self.shares, wanted, self.now, DAEMONS)
         if not is_answered:
