--- a/packages/kitekeel-peers/src/kitekeel_peers/keeper.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/keeper.py
@@ -197,7 +197,7 @@
         pool=pool,
         authority=ledger.authority(),
         room=ledger.total_room(),
-        held_back=ledger.held_back(),
+        held_back=ledger.withheld_slots(),
         in_use=sum(ledger.in_use(name) for name in names),
         reserved=sum(ledger.reserved(name) for name in names),
     )
--- a/packages/kitekeel-steering/src/kitekeel_steering/ledger.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/ledger.py
@@ -116,7 +116,7 @@
         """Return the room of all back ends of the pool together."""
         return sum(self._room_of(each.name) for each in self.room.back_ends())
 
-    def held_back(self) -> int:
+    def withheld_slots(self) -> int:
         """Return how many slots are withheld for holders that a new keeper does not know yet."""
         names = [each.name for each in self.room.back_ends()]
         return sum(self._withheld_slots(name, self.reserved(name)) for name in names)
