--- a/packages/kitekeel-lab/src/kitekeel_lab/hollow_daemon.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/hollow_daemon.py
@@ -116,7 +116,7 @@
             len(self._membership.table.live()),
             self._spread.revision(),
             self._suspicions,
-            self._membership.table.pending_news(),
+            self._membership.table.pending_update_count(),
             self._metrics.snapshot(),
         )
 
--- a/packages/kitekeel-peers/src/kitekeel_peers/member_table.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/member_table.py
@@ -114,7 +114,7 @@
                     del self._pending_updates[update.record.instance]
             return tuple(update.record for update in chosen)
 
-    def pending_news(self) -> int:
+    def pending_update_count(self) -> int:
         """Return the number of records that are still gossiped."""
         with self._lock:
             return len(self._pending_updates)
