--- a/packages/kitekeel-daemon/src/kitekeel_daemon/wake_watch.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/pause_detector.py
@@ -22,7 +22,7 @@
 _POLL_SECONDS = 0.02
 
 
-class WakeWatch:
+class PauseDetector:
     """Detects pauses of one daemon and holds its requests after them; used on one event loop.
 
     Args:
@@ -43,7 +43,7 @@
             self._check_clock()
             await asyncio.sleep(_TICK_SECONDS)
 
-    async def until_current(self) -> None:
+    async def wait_until_current(self) -> None:
         """After a pause, wait until the fleet view is confirmed as current, but not for long."""
         now = self._check_clock()
         while self._view.confirmed_at < self._woke_at and now - self._woke_at < _MAX_HOLD_SECONDS:
