--- a/packages/kitekeel-daemon/src/kitekeel_daemon/gateway_gauges.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/gateway_gauges.py
@@ -61,5 +61,5 @@
             "1 while limits of tenants are kept by an equal part",
             sources.tenants.is_alone,
         ),
-        ("retry_budget_used", "Most used retry budget, 0 to 1", router.repeats_used),
+        ("retry_budget_used", "Most used retry budget, 0 to 1", router.max_retry_budget_share),
     ]
