--- a/packages/kitekeel-daemon/src/kitekeel_daemon/process_ends.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/process_ends.py
@@ -49,7 +49,7 @@
     error: str
 
 
-class ProcessEnds:
+class ProcessEndDetector:
     """Finds the requests that ran when a back end's process ended; used on one event loop.
 
     Args:
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/view_changes.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/view_changes.py
@@ -8,7 +8,7 @@
 from kitekeel_daemon.decision_log import DecisionLog
 from kitekeel_daemon.departures import Departures
 from kitekeel_daemon.gateway_metrics import GatewayMetrics
-from kitekeel_daemon.process_ends import ProcessEnds
+from kitekeel_daemon.process_ends import ProcessEndDetector
 from kitekeel_daemon.running_exchanges import RunningExchanges
 from kitekeel_steering.fleet_items import ItemKind
 from kitekeel_steering.fleet_view import ViewChange
@@ -23,7 +23,7 @@
         states: BackEndStates,
         departures: Departures,
         running: RunningExchanges,
-        ends: ProcessEnds,
+        ends: ProcessEndDetector,
         limiter: BackEndLimiter,
         pool: ConnectionPool,
         metrics: GatewayMetrics,
