--- a/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_follower.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_follower.py
@@ -142,7 +142,7 @@
             self._metrics.increment("peers.news", changes)
             self._log.state(PeerAnswered(address, changes, 0.0))
 
-    def on_peer_silent(self, address: str, reason: str) -> None:
+    def on_peer_failure(self, address: str, reason: str) -> None:
         """Note that a peer did not answer a request for changes, or could not be sent any."""
         self._metrics.increment("peers.news-failed")
         self._log.state(PeerAnswered(address, 0, 0.0, reason))
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_news.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_news.py
@@ -48,7 +48,7 @@
             loop,
             own_address,
             follower.on_peer_news,
-            follower.on_peer_silent,
+            follower.on_peer_failure,
         )
         listeners = follower.exchange_listeners(self.feed.subscribe)
         self.exchange = ViewExchange(view, client, loop, listeners)
@@ -61,7 +61,7 @@
             FRESH_SECONDS,
             generator,
             follower.on_peer_news,
-            follower.on_peer_silent,
+            follower.on_peer_failure,
         )
 
     def register(self, server: PeerServer) -> None:
