--- a/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_follower.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_follower.py
@@ -163,7 +163,7 @@
             self._on_contradiction,
         )
 
-    def check_anew(self, paused_seconds: float) -> None:
+    def restart_watches(self, paused_seconds: float) -> None:
         """Restart the store watches after this process was paused, as the old ones may be dead.
 
         The probe that confirms the view is sent after the watches, because a watch is answered at
