--- a/packages/kitekeel-daemon/src/kitekeel_daemon/__main__.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/__main__.py
@@ -1,10 +1,10 @@
 """Runs a daemon: ``kitekeeld --settings FILE``, or ``python -m kitekeel_daemon``."""
 
-from kitekeel_daemon.start_signals import hold_signals
+from kitekeel_daemon.start_signals import block_stop_signals
 
 # Importing the modules below takes most of the startup time. A stop signal must not kill
 # the process during it.
-hold_signals()
+block_stop_signals()
 
 from kitekeel_daemon.main import main  # noqa: E402
 
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/start_signals.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/start_signals.py
@@ -10,7 +10,7 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-def hold_signals() -> None:
+def block_stop_signals() -> None:
     """Block stop signals until they can be handled; ignore SIGHUP, as there is nothing to reload."""
     signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
