--- a/packages/kitekeel-daemon/src/kitekeel_daemon/placement_log.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/placement_log.py
@@ -17,15 +17,15 @@
     def __init__(self, log: DecisionLog) -> None:
         self._log = log
 
-    def objects_compared(self, service: str, is_shared: bool, known_share: float) -> None:
+    def log_objects_compared(self, service: str, is_shared: bool, known_share: float) -> None:
         """Log that regions were found to request the same objects, or no longer do."""
         self._log.state(ObjectsCompared(service, is_shared, round(known_share, 2)))
 
-    def comparison_failed(self, address: str, seconds: float, reason: str) -> None:
+    def log_comparison_failed(self, address: str, seconds: float, reason: str) -> None:
         """Log that another daemon did not answer a request to compare objects."""
         self._log.state(PeerAnswered(address, 0, round(seconds, 3), reason))
 
-    def local_share_moves(self, moving: LocalShareTarget) -> None:
+    def log_local_share_change(self, moving: LocalShareTarget) -> None:
         """Log that the own region's share of a service's keys starts to change."""
         self._log.state(
             LocalShareMoves(
