--- a/packages/kitekeel-daemon/src/kitekeel_daemon/back_end_limiter.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/back_end_limiter.py
@@ -233,7 +233,7 @@
             BackEndLimitChanged(record.instance, record.started_at_ms, record.rate, source)
         )
         if self._exchange is not None:
-            self._exchange.tell(record)
+            self._exchange.publish(record)
 
     def _home_region(self, instance: str) -> str:
         found = self._view.find_back_end(instance)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/crash_guard.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/crash_guard.py
@@ -172,7 +172,7 @@
         self._metrics.increment(f"crashes.records-{change.source.partition(' ')[0]}")
         self._log_change(change)
         if self._exchange is not None:
-            self._exchange.tell(record)
+            self._exchange.publish(record)
         if self._store_sync is None:
             return
         if change.source in (OWN, OPERATOR):
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/request_guard.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/request_guard.py
@@ -113,7 +113,7 @@
             text = f"{ends} ({record.service}): {state}, {change.source}"
             self._recorder.add("crash-record", text)
         if self._exchange is not None:
-            self._exchange.tell(record)
+            self._exchange.publish(record)
 
     def _on_peer_failure(self, address: str, reason: str) -> None:
         self._metrics.increment("peers.crash_news_failed")
--- a/packages/kitekeel-peers/src/kitekeel_peers/news_feed.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/news_feed.py
@@ -122,7 +122,7 @@
         self._remove_expired(self._clock.monotonic())
         return len(self._subscribers)
 
-    def tell_all(self) -> None:
+    def push_all(self) -> None:
         """Push missing changes to all subscribers; call on the event loop after each change."""
         self._remove_expired(self._clock.monotonic())
         for address, subscriber in self._subscribers.items():
--- a/packages/kitekeel-peers/src/kitekeel_peers/record_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/record_exchange.py
@@ -150,7 +150,7 @@
         handler = on_event_loop(self._reply, self._loop, _TIMEOUT_SECONDS)
         server.register(self._method, self._news_type, handler)
 
-    def tell(self, record: Record) -> None:
+    def publish(self, record: Record) -> None:
         """Send a changed record to the neighbours; must be called on the event loop."""
         self._changed_at = self._loop.time()
         self._change_event.set()
--- a/tests/test_limit_exchange.py
+++ b/tests/test_limit_exchange.py
@@ -41,7 +41,7 @@
         limits = BackEndLimits(
             HybridClock(clock),
             lambda _name, _start: True,
-            lambda record, _previous, _source: exchange.tell(record),
+            lambda record, _previous, _source: exchange.publish(record),
         )
         loop = asyncio.get_running_loop()
         exchange = LimitExchange(
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -152,7 +152,7 @@
     async def scenario() -> None:
         store, _ = await fleet()
         gateways = await zone(store)
-        monkeypatch.setattr(NewsFeed, "tell_all", lambda _feed: None)
+        monkeypatch.setattr(NewsFeed, "push_all", lambda _feed: None)
         assert await know_departure(store, gateways, DEPARTURE_SECONDS)
 
     play(scenario)
