--- a/packages/kitekeel-lab/src/kitekeel_lab/experiment_plan.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/experiment_plan.py
@@ -157,7 +157,7 @@
         at, _, action = line.strip().partition(" ")
         seconds = parse_duration(at)
         if seconds is None or not action:
-            section.note("events", "bad-event", f"'{line.strip()}'", "TIME ACTION")
+            section.add_finding("events", "bad-event", f"'{line.strip()}'", "TIME ACTION")
             continue
         events.append(PlannedEvent(seconds, action))
     return tuple(events)
@@ -169,7 +169,7 @@
         match = _BAR_PATTERN.match(section.text(name))
         if match is None:
             allowed = "FIGURE <= NUMBER, or FIGURE <= NUMBER * FIGURE, or the same with >="
-            section.note(name, "bad-bar", f"'{section.text(name)}'", allowed)
+            section.add_finding(name, "bad-bar", f"'{section.text(name)}'", allowed)
             continue
         bars.append(
             Bar(
--- a/packages/kitekeel-steering/src/kitekeel_steering/configuration_text.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/configuration_text.py
@@ -53,7 +53,7 @@
             reader = readers.get(kind)
             if reader is None or not name:
                 allowed = ", ".join(f"[{each} NAME]" for each in readers)
-                section.note(None, "unknown-section", f"[{section.name}]", allowed)
+                section.add_finding(None, "unknown-section", f"[{section.name}]", allowed)
                 continue
             reader(section, name.strip())
             section.report_unknown_options()
@@ -86,7 +86,7 @@
     def _read_link(self, section: IniSection, name: str) -> None:
         ends = name.split()
         if len(ends) != 2:
-            section.note(None, "bad-link", f"[{section.name}]", "[link REGION REGION]")
+            section.add_finding(None, "bad-link", f"[{section.name}]", "[link REGION REGION]")
             return
         delay = section.seconds("one_way_delay")
         limit = section.whole("request_limit", 0, 0, _MAX_SLOTS)
@@ -101,7 +101,7 @@
     def _read_class(self, section: IniSection, name: str) -> None:
         service, _, class_name = name.partition("/")
         if not class_name:
-            section.note(None, "bad-class", f"[{section.name}]", "[class SERVICE/CLASS]")
+            section.add_finding(None, "bad-class", f"[{section.name}]", "[class SERVICE/CLASS]")
             return
         priority_class = PriorityClass(
             name=class_name,
@@ -136,37 +136,39 @@
         known = [region.name for region in self._regions]
         for name in names:
             if name not in known:
-                section.note(None, "unknown-region", f"'{name}'", _one_of(known))
+                section.add_finding(None, "unknown-region", f"'{name}'", _one_of(known))
 
     def _check_class(self, section: IniSection, service: str, each: PriorityClass) -> None:
         if service not in self._services:
             allowed = _one_of(self._services)
-            section.note(None, "unknown-service", f"'{service}'", allowed)
+            section.add_finding(None, "unknown-service", f"'{service}'", allowed)
         if each.sure_share > each.most_share:
             allowed = f"at most most_share, {each.most_share}"
-            section.note("sure_share", "sure-above-most", f"{each.sure_share}", allowed)
+            section.add_finding("sure_share", "sure-above-most", f"{each.sure_share}", allowed)
         siblings = {other.name: other for other in self._classes.get(service, [])}
         for name in each.pushes_aside:
             if name not in siblings or siblings[name].rank <= each.rank:
                 allowed = "classes of the service with a higher rank number"
-                section.note("pushes_aside", "bad-pushes-aside", f"'{name}'", allowed)
+                section.add_finding("pushes_aside", "bad-pushes-aside", f"'{name}'", allowed)
 
     def _check_back_end(self, section: IniSection, back_end: BackEnd) -> None:
         if back_end.service not in self._services:
             allowed = _one_of(self._services)
-            section.note("service", "unknown-service", f"'{back_end.service}'", allowed)
+            section.add_finding("service", "unknown-service", f"'{back_end.service}'", allowed)
         if not back_end.region:
             allowed = "a zone of a [region] section above"
-            section.note("zone", "unknown-zone", f"'{back_end.zone}'", allowed)
+            section.add_finding("zone", "unknown-zone", f"'{back_end.zone}'", allowed)
 
     def _check_services(self) -> None:
         for service in self._services:
             classes = self._classes.get(service, [])
             section = self._document.section(f"service {service}")
             if not classes:
-                section.note(None, "no-class", f"'{service}' has no class", "[class S/C]")
+                section.add_finding(None, "no-class", f"'{service}' has no class", "[class S/C]")
             if sum(each.sure_share for each in classes) > 1.0:
-                section.note(None, "sure-above-one", f"'{service}'", "sure shares of 1 in all")
+                section.add_finding(
+                    None, "sure-above-one", f"'{service}'", "sure shares of 1 in all"
+                )
 
 
 def _one_of(names: Iterable[str]) -> str:
--- a/packages/kitekeel-steering/src/kitekeel_steering/ini.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/ini.py
@@ -39,9 +39,9 @@
         """Return the line of an option, or of the section heading."""
         return self.document.line(self.name, option)
 
-    def note(self, option: str | None, code: str, message: str, allowed: str) -> None:
+    def add_finding(self, option: str | None, code: str, message: str, allowed: str) -> None:
         """Record a finding about an option of this section, or about the section itself."""
-        self.document.note(self.line(option), code, message, allowed)
+        self.document.add_finding(self.line(option), code, message, allowed)
 
     def options(self) -> list[str]:
         """Return the names of all options in the section."""
@@ -54,7 +54,9 @@
         if value is not None:
             return value
         if default is None:
-            self.note(None, "missing-option", f"[{self.name}] has no '{option}'", "the option")
+            self.add_finding(
+                None, "missing-option", f"[{self.name}] has no '{option}'", "the option"
+            )
             return ""
         return default
 
@@ -62,7 +64,7 @@
         """Return a name consisting of lower-case letters, digits and hyphens."""
         value = self.text(option, default)
         if value and not _NAME_PATTERN.match(value):
-            self.note(
+            self.add_finding(
                 option, "bad-name", f"'{value}' is not a valid name", "a-z, 0-9 and '-', 1 to 63"
             )
         return value
@@ -78,7 +80,9 @@
         if raw.isdecimal() and raw.isascii() and minimum <= int(raw) <= maximum:
             return int(raw)
         if raw:
-            self.note(option, "bad-number", f"'{raw}'", f"a whole number, {minimum} to {maximum}")
+            self.add_finding(
+                option, "bad-number", f"'{raw}'", f"a whole number, {minimum} to {maximum}"
+            )
         return minimum
 
     def number(self, option: str, default: float | None, minimum: float, maximum: float) -> float:
@@ -91,7 +95,9 @@
         if minimum <= value <= maximum:
             return value
         if raw:
-            self.note(option, "bad-number", f"'{raw}'", f"a number from {minimum:g} to {maximum:g}")
+            self.add_finding(
+                option, "bad-number", f"'{raw}'", f"a number from {minimum:g} to {maximum:g}"
+            )
         return minimum
 
     def fraction(self, option: str, default: float | None) -> float:
@@ -102,7 +108,7 @@
         """Return the value of a ``true`` or ``false`` option."""
         raw = self._value_text(option, str(default)).lower()
         if raw not in _FLAGS:
-            self.note(option, "bad-flag", f"'{raw}'", "true or false")
+            self.add_finding(option, "bad-flag", f"'{raw}'", "true or false")
         return raw == _TRUE
 
     def seconds(self, option: str, default: str | None = None, may_be_zero: bool = True) -> float:
@@ -111,10 +117,10 @@
         value = parse_duration(raw)
         if value is None:
             if raw:
-                self.note(option, "bad-duration", f"'{raw}'", "a number and ms, s, m or h")
+                self.add_finding(option, "bad-duration", f"'{raw}'", "a number and ms, s, m or h")
             return 0.0
         if value == 0.0 and not may_be_zero:
-            self.note(option, "zero-duration", f"'{raw}'", "more than 0")
+            self.add_finding(option, "zero-duration", f"'{raw}'", "more than 0")
         return value
 
     def _value_text(self, option: str, default: str | None) -> str:
@@ -127,14 +133,14 @@
 
     def _default_text(self, option: str, default: str | None) -> str:
         if default is None and option in self._values:
-            self.note(option, "missing-value", f"'{option}' is empty", "a value")
+            self.add_finding(option, "missing-value", f"'{option}' is empty", "a value")
         return default or ""
 
     def address(self, option: str, default: str | None = None) -> str:
         """Return an ``IP:port`` address; host names are not accepted."""
         raw = self.text(option, default)
         if raw and not is_address(raw):
-            self.note(option, "bad-address", f"'{raw}'", "an IP address, ':' and a port")
+            self.add_finding(option, "bad-address", f"'{raw}'", "an IP address, ':' and a port")
         return raw
 
     def report_unknown_options(self) -> None:
@@ -142,7 +148,7 @@
         for option in self._values:
             if option not in self._read:
                 allowed = ", ".join(sorted(self._read))
-                self.note(option, "unknown-option", f"[{self.name}] '{option}'", allowed)
+                self.add_finding(option, "unknown-option", f"[{self.name}] '{option}'", allowed)
 
 
 class IniDocument:
@@ -164,7 +170,7 @@
         try:
             parser.read_string(text, source)
         except configparser.Error as error:
-            self.note(_line_of_parser_error(error), "bad-ini", error.message, "INI text")
+            self.add_finding(_line_of_parser_error(error), "bad-ini", error.message, "INI text")
             raise FindingsError(self.findings) from error
         self.sections = [
             IniSection(self, name, dict(parser.items(name))) for name in parser.sections()
@@ -175,7 +181,7 @@
         found = self._lines.get((section, option)) if option else None
         return found or self._lines.get((section, None), 0)
 
-    def note(self, line: int, code: str, message: str, allowed: str) -> None:
+    def add_finding(self, line: int, code: str, message: str, allowed: str) -> None:
         """Record one finding."""
         self.findings.append(Finding(self.source, line, code, message, allowed))
 
@@ -184,7 +190,7 @@
         for section in self.sections:
             if section.name == name:
                 return section
-        self.note(0, "missing-section", f"[{name}] is missing", f"[{name}]")
+        self.add_finding(0, "missing-section", f"[{name}] is missing", f"[{name}]")
         return IniSection(self, name, {})
 
     def raise_findings(self) -> None:
--- a/packages/kitekeel-steering/src/kitekeel_steering/peer_options.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/peer_options.py
@@ -12,7 +12,9 @@
     seeds = section.names("seeds", "")
     for seed in seeds:
         if not is_address(seed):
-            section.note("seeds", "bad-address", f"'{seed}'", "an IP address, ':' and a port")
+            section.add_finding(
+                "seeds", "bad-address", f"'{seed}'", "an IP address, ':' and a port"
+            )
     return seeds
 
 
@@ -21,5 +23,5 @@
     value = section.text(option)
     if value and len(value) < _MIN_SECRET_LENGTH:
         allowed = f"at least {_MIN_SECRET_LENGTH} characters"
-        section.note(option, "secret-too-short", f"{len(value)} characters", allowed)
+        section.add_finding(option, "secret-too-short", f"{len(value)} characters", allowed)
     return value
--- a/packages/kitekeel-steering/src/kitekeel_steering/settings.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/settings.py
@@ -100,7 +100,7 @@
     known = ["daemon", "callers", "operators", "peers", "platform", "metrics"]
     for section in document.sections:
         if section.name not in known:
-            section.note(None, "unknown-section", f"[{section.name}]", ", ".join(known))
+            section.add_finding(None, "unknown-section", f"[{section.name}]", ", ".join(known))
     settings = Settings(
         daemon=_daemon(document.section("daemon")),
         callers=_callers(document.section("callers")),
@@ -149,7 +149,7 @@
     )
     if settings.max_age_seconds >= settings.token_life_seconds:
         allowed = "longer than max_age, so that a cached look-up can be used"
-        section.note(
+        section.add_finding(
             "token_life", "token-life-too-short", f"{settings.token_life_seconds}s", allowed
         )
     return settings
@@ -167,7 +167,7 @@
     ]
     if any(files) and not all(files):
         allowed = "tls_certificate_authority, tls_certificate and tls_key, or none of them"
-        section.note(None, "tls-incomplete", "only some of the TLS files are set", allowed)
+        section.add_finding(None, "tls-incomplete", "only some of the TLS files are set", allowed)
     address = section.address("address")
     return PeerSettings(
         address,
