--- a/packages/kitekeel-lab/src/kitekeel_lab/experiment_plan.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/experiment_plan.py
@@ -92,7 +92,7 @@
     """
     document = IniDocument(text, name)
     general = document.section("experiment")
-    back_ends = general.whole("back_ends", 0, 0, 1000)
+    back_ends = general.integer("back_ends", 0, 0, 1000)
     phases: list[Phase] = []
     bars: list[Bar] = []
     for section in document.sections:
@@ -103,7 +103,7 @@
     plan = ExperimentPlan(
         name=name,
         deployment=deployment,
-        daemons_per_region=general.whole("daemons", 4, 1, _MOST_DAEMONS),
+        daemons_per_region=general.integer("daemons", 4, 1, _MOST_DAEMONS),
         back_ends_per_pool=back_ends or None,
         mean_work_seconds=general.seconds("work", "500ms"),
         phases=tuple(phases),
--- a/packages/kitekeel-steering/src/kitekeel_steering/configuration_text.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/configuration_text.py
@@ -80,7 +80,7 @@
         ]
 
     def _read_region(self, section: IniSection, name: str) -> None:
-        machines = section.whole("entry_machines", None, 1, _MAX_MACHINES)
+        machines = section.integer("entry_machines", None, 1, _MAX_MACHINES)
         self._regions.append(Region(name, section.names("zones"), machines))
 
     def _read_link(self, section: IniSection, name: str) -> None:
@@ -89,7 +89,7 @@
             section.add_finding(None, "bad-link", f"[{section.name}]", "[link REGION REGION]")
             return
         delay = section.seconds("one_way_delay")
-        limit = section.whole("request_limit", 0, 0, _MAX_SLOTS)
+        limit = section.integer("request_limit", 0, 0, _MAX_SLOTS)
         self._links.append(Link(ends[0], ends[1], delay, limit))
         self._checks.append(lambda: self._check_regions(section, ends))
 
@@ -105,12 +105,12 @@
             return
         priority_class = PriorityClass(
             name=class_name,
-            rank=section.whole("rank", None, 1, _MAX_RANK),
+            rank=section.integer("rank", None, 1, _MAX_RANK),
             sure_share=section.fraction("sure_share", 0.0),
             most_share=section.fraction("most_share", 1.0),
             pushes_aside=section.names("pushes_aside", ""),
             key=section.text("key", ""),
-            queue_places=section.whole("queue_places", 64, 0, _MAX_QUEUE_PLACES),
+            queue_places=section.integer("queue_places", 64, 0, _MAX_QUEUE_PLACES),
         )
         self._classes.setdefault(service, []).append(priority_class)
         self._checks.append(lambda: self._check_class(section, service, priority_class))
@@ -123,8 +123,8 @@
             region=self._region_of_zone(zone),
             zone=zone,
             address=section.address("address"),
-            slots=section.whole("slots", None, 1, _MAX_SLOTS),
-            connections=section.whole("connections", 130, 1, _MAX_SLOTS),
+            slots=section.integer("slots", None, 1, _MAX_SLOTS),
+            connections=section.integer("connections", 130, 1, _MAX_SLOTS),
         )
         self._back_ends.append(back_end)
         self._checks.append(lambda: self._check_back_end(section, back_end))
--- a/packages/kitekeel-steering/src/kitekeel_steering/ini.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/ini.py
@@ -74,7 +74,7 @@
         parts = (part.strip() for part in self.text(option, default).split(","))
         return tuple(part for part in parts if part)
 
-    def whole(self, option: str, default: int | None, minimum: int, maximum: int) -> int:
+    def integer(self, option: str, default: int | None, minimum: int, maximum: int) -> int:
         """Return an integer between two inclusive bounds."""
         raw = self._value_text(option, None if default is None else str(default))
         if raw.isdecimal() and raw.isascii() and minimum <= int(raw) <= maximum:
--- a/packages/kitekeel-steering/src/kitekeel_steering/settings.py
+++ b/packages/kitekeel-steering/src/kitekeel_steering/settings.py
@@ -132,7 +132,7 @@
         name=section.identifier("name"),
         region=section.identifier("region"),
         zone=section.identifier("zone"),
-        place=section.whole("place", None, 1, _MAX_PLACES),
+        place=section.integer("place", None, 1, _MAX_PLACES),
     )
 
 
@@ -143,9 +143,9 @@
         advertised=section.address("advertised", address),
         max_age_seconds=int(section.seconds("max_age", "5s")),
         token_life_seconds=int(section.seconds("token_life", "10m")),
-        threads=section.whole("threads", 352, 4, _MAX_THREADS),
-        largest_body=section.whole("largest_body", 64 * 1024 * 1024, 1, _MAX_BYTES),
-        largest_header=section.whole("largest_header", 32 * 1024, 1024, _MAX_BYTES),
+        threads=section.integer("threads", 352, 4, _MAX_THREADS),
+        largest_body=section.integer("largest_body", 64 * 1024 * 1024, 1, _MAX_BYTES),
+        largest_header=section.integer("largest_header", 32 * 1024, 1024, _MAX_BYTES),
     )
     if settings.max_age_seconds >= settings.token_life_seconds:
         allowed = "longer than max_age, so that a cached look-up can be used"
@@ -183,7 +183,7 @@
 def _platform(section: IniSection) -> PlatformSettings:
     return PlatformSettings(
         address=section.address("address"),
-        calls_per_second=float(section.whole("calls_per_second", 10, 1, 2000)),
+        calls_per_second=float(section.integer("calls_per_second", 10, 1, 2000)),
         claim_life_seconds=section.seconds("claim_life", "1h"),
     )
 
