--- a/features/environment.py
+++ b/features/environment.py
@@ -4,7 +4,7 @@
 from behave.runner import Context
 
 _KINDS = ("request-unknown", "request-late", "request-refused-late")
-_MOST_LINES = 50
+_MAX_LINES = 50
 
 
 def after_scenario(context: Context, scenario: Scenario) -> None:
@@ -24,4 +24,4 @@
 def _failed_requests(output: str) -> str:
     """Return the log lines that show where late, unknown and refused requests spent their time."""
     lines = [line for line in output.splitlines() if any(kind in line for kind in _KINDS)]
-    return "\n".join(lines[-_MOST_LINES:])
+    return "\n".join(lines[-_MAX_LINES:])
--- a/packages/kitekeel-backends/src/kitekeel_backends/deadline_connection.py
+++ b/packages/kitekeel-backends/src/kitekeel_backends/deadline_connection.py
@@ -15,12 +15,12 @@
 from kitekeel_steering.clock import steady_seconds
 
 # Of a connection within the users' networks, some 60 ms one way, with one lost packet.
-_LONGEST_CONNECT_SECONDS = 1.0
+_MAX_CONNECT_SECONDS = 1.0
 # At the deadline, what the kernel already has is still read; nothing more is waited for.
 _NO_WAIT_SECONDS = 0.001
 # Servers commonly close connections that rest for 10 s; one that rests longer than this may be
 # closed in the moment in which a request is written to it.
-_LONGEST_REST_SECONDS = 6.0
+_MAX_REST_SECONDS = 6.0
 
 
 class DeadlineSocket(socket.socket):
@@ -76,7 +76,7 @@
             urllib3.exceptions.HTTPError, OSError: no connection.
         """
         self.timeout = min(
-            _LONGEST_CONNECT_SECONDS, max(_NO_WAIT_SECONDS, self._deadline - steady_seconds())
+            _MAX_CONNECT_SECONDS, max(_NO_WAIT_SECONDS, self._deadline - steady_seconds())
         )
         super().connect()
         # The library sets its own time-out on the socket; the deadline takes its place there.
@@ -107,7 +107,7 @@
             if connection is None:
                 return None
             rested = steady_seconds() - connection.rests_since
-            if rested <= _LONGEST_REST_SECONDS and connection.is_connected:
+            if rested <= _MAX_REST_SECONDS and connection.is_connected:
                 connection.set_deadline(deadline)
                 return connection
             connection.close()
--- a/packages/kitekeel-callers/src/kitekeel_callers/entries.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/entries.py
@@ -22,7 +22,7 @@
 ENTRIES_PATH = "/v1/entries"
 
 _REFRESH_SECONDS = 5.0
-_MOST_ENTRIES = 8
+_MAX_ENTRIES = 8
 
 
 class EntryMachine(msgspec.Struct, frozen=True):
@@ -169,7 +169,7 @@
                 each.zone,
                 self._signer.sign(HomeToken(each.instance, expires_at)),
             )
-            for each in machines[:_MOST_ENTRIES]
+            for each in machines[:_MAX_ENTRIES]
         )
         body = EntriesBody(service, self._timing.max_age_seconds, entries)
         headers = (
--- a/packages/kitekeel-callers/src/kitekeel_callers/idempotency.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/idempotency.py
@@ -25,7 +25,7 @@
 from kitekeel_steering.http_messages import StreamedAnswer
 from kitekeel_steering.key_table import KeptAnswer, KeyRecord, KeyState, KeyTable
 
-_LONGEST_KEPT_BODY_BYTES = 64 * 1024
+_MAX_KEPT_BODY_BYTES = 64 * 1024
 _HOME_CHANGE_SECONDS = 2.0
 _HOME_CHANGE_PAUSE_SECONDS = 0.1
 
@@ -224,7 +224,7 @@
         if self._kept is None:
             return
         self._kept += piece
-        if len(self._kept) > _LONGEST_KEPT_BODY_BYTES:
+        if len(self._kept) > _MAX_KEPT_BODY_BYTES:
             self._kept = None
 
     def _finish(self) -> None:
--- a/packages/kitekeel-lab/src/kitekeel_lab/caller.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/caller.py
@@ -17,7 +17,7 @@
 _LOOKUP_TIMEOUT_SECONDS = 2.0
 _ANSWER_MARGIN_SECONDS = 3.0
 _CONNECTIONS = 64
-_LONGEST_PAUSE_SECONDS = 1.0
+_MAX_PAUSE_SECONDS = 1.0
 
 
 class NoEntryError(KitekeelError):
@@ -127,7 +127,7 @@
         for turn in range(1, repeats + 1 if key else 1):
             if outcome.result not in (Result.LOST, Result.UNKNOWN, Result.CUT):
                 break
-            time.sleep(min(_LONGEST_PAUSE_SECONDS, outcome.retry_after_seconds or 0.0))
+            time.sleep(min(_MAX_PAUSE_SECONDS, outcome.retry_after_seconds or 0.0))
             address = entries[turn % len(entries)].address
             outcome = self.send_to(address, spec, request_id, key)
         return outcome
--- a/packages/kitekeel-lab/src/kitekeel_lab/demo.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/demo.py
@@ -23,7 +23,7 @@
 _SEED = 7
 _SHIFT_AT, _DRAIN_AT, _STOP_AT = 3.0, 8.0, 11.0
 _DRAINED_ZONE = "nl-zuid-1"
-_LEAST_TIMELINE_LINES = 40
+_MIN_TIMELINE_LINES = 40
 # Percentiles of an exponential service time that is cut at four times its mean.
 _MEDIAN_FACTOR, _P99_FACTOR = 0.69, 4.0
 
@@ -117,8 +117,8 @@
         address = self._cluster.daemon(self._cluster.first_running()).operator_address
         key = self._cluster.operator_key
         lines = format_text(collect_timeline(address, key)).splitlines()
-        print(f"time line, the last {_LEAST_TIMELINE_LINES} of {len(lines)} events:")
-        print("\n".join(lines[-_LEAST_TIMELINE_LINES:]))
+        print(f"time line, the last {_MIN_TIMELINE_LINES} of {len(lines)} events:")
+        print("\n".join(lines[-_MIN_TIMELINE_LINES:]))
 
 
 def _outcome_table(
--- a/packages/kitekeel-lab/src/kitekeel_lab/experiment_metrics.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/experiment_metrics.py
@@ -17,7 +17,7 @@
 
 _WARM_UP_SECONDS = 3.0
 _SETTLE_SECONDS = 5.0
-_LEAST_REQUESTS_IN_SECOND = 20
+_MIN_REQUESTS_IN_SECOND = 20
 
 
 class PhaseData(msgspec.Struct, frozen=True):
@@ -142,7 +142,7 @@
         while last_moved < len(moved) and moved[last_moved] < at + 1:
             last_moved += 1
         count = last_total - first_total
-        if count >= _LEAST_REQUESTS_IN_SECOND:
+        if count >= _MIN_REQUESTS_IN_SECOND:
             largest = max(largest, (last_moved - index) / count)
     return largest
 
--- a/packages/kitekeel-lab/src/kitekeel_lab/experiment_plan.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/experiment_plan.py
@@ -16,7 +16,7 @@
 _BAR_PATTERN = re.compile(
     r"^(?P<left>[\w./-]+) (?P<sign><=|>=) (?P<number>[\d.]+)( \* (?P<right>[\w./-]+))?$"
 )
-_MOST_DAEMONS = 40
+_MAX_DAEMONS = 40
 
 
 class PlannedEvent(msgspec.Struct, frozen=True):
@@ -103,7 +103,7 @@
     plan = ExperimentPlan(
         name=name,
         deployment=deployment,
-        daemons_per_region=general.integer("daemons", 4, 1, _MOST_DAEMONS),
+        daemons_per_region=general.integer("daemons", 4, 1, _MAX_DAEMONS),
         back_ends_per_pool=back_ends or None,
         mean_work_seconds=general.seconds("work", "500ms"),
         phases=tuple(phases),
--- a/packages/kitekeel-lab/src/kitekeel_lab/load_process.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/load_process.py
@@ -15,8 +15,8 @@
 from kitekeel_lab.caller import Caller, Result
 from kitekeel_lab.load_messages import LoadOrder, LoadRecord, LoadStream
 
-_LONGEST_WORK_FACTOR = 4.0
-_MOST_RETURNS = 30
+_MAX_WORK_FACTOR = 4.0
+_MAX_RETURNS = 30
 
 
 class _Arrival(msgspec.Struct, frozen=True, order=True):
@@ -44,7 +44,7 @@
         request_id = f"{stream.name}-{stream.zone}-{order.seed}-{arrival.number}".replace("/", "-")
         caller = callers[stream.zone]
         outcome = caller.send(request, request_id, order.repeats)
-        for _ in range(_MOST_RETURNS if stream.comes_back else 0):
+        for _ in range(_MAX_RETURNS if stream.comes_back else 0):
             if outcome.result is not Result.NOT_RUN:
                 break
             time.sleep(outcome.retry_after_seconds or 1.0)
@@ -99,6 +99,6 @@
         mean = stream.request.work_seconds
         work = mean
         if stream.exponential_work:
-            work = min(drawn.expovariate(1 / mean), _LONGEST_WORK_FACTOR * mean)
+            work = min(drawn.expovariate(1 / mean), _MAX_WORK_FACTOR * mean)
         yield _Arrival(at, number, index, work)
         number += 1
--- a/packages/kitekeel-lab/src/kitekeel_lab/load_results.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/load_results.py
@@ -11,7 +11,7 @@
 from kitekeel_lab.caller import Result
 from kitekeel_lab.load_messages import LoadRecord
 
-_HIGHEST_MICROSECONDS = 600_000_000
+_MAX_MICROSECONDS = 600_000_000
 _DIGITS = 3
 
 
@@ -37,7 +37,7 @@
 
 def percentile_ms(records: Iterable[LoadRecord], percentile: float) -> float:
     """Return a latency percentile of the answered requests, 0 where there is none."""
-    histogram = HdrHistogram(1, _HIGHEST_MICROSECONDS, _DIGITS)
+    histogram = HdrHistogram(1, _MAX_MICROSECONDS, _DIGITS)
     for record in records:
         if record.result is Result.ANSWERED:
             histogram.record_value(max(1, int(record.seconds * 1_000_000)))
--- a/packages/kitekeel-lab/src/kitekeel_lab/platform_server.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/platform_server.py
@@ -24,9 +24,9 @@
 from kitekeel_platform.rate_budget import RateBudget
 from kitekeel_steering.clock import SystemClock
 
-LARGEST_VALUE_BYTES = 1024 * 1024
+MAX_VALUE_BYTES = 1024 * 1024
 
-_LIMITS = ServerLimits(threads=96, largest_body=LARGEST_VALUE_BYTES)
+_LIMITS = ServerLimits(threads=96, largest_body=MAX_VALUE_BYTES)
 
 
 class PlatformFaults(msgspec.Struct, frozen=True):
--- a/packages/kitekeel-lab/src/kitekeel_lab/ports.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/ports.py
@@ -19,7 +19,7 @@
 # More than the largest cluster of a scenario takes; there are 74 blocks.
 _BLOCK_PORTS = 256
 # A long run of tests draws thousands of addresses; those of its older blocks are free again.
-_MOST_BLOCKS = 4
+_MAX_BLOCKS = 4
 _STRIDE = 31
 
 
@@ -61,7 +61,7 @@
                 claim.close()
                 continue
             self._claims.append(claim)
-            if len(self._claims) > _MOST_BLOCKS:
+            if len(self._claims) > _MAX_BLOCKS:
                 self._claims.popleft().close()
             return list(reversed(range(first + 1, first + _BLOCK_PORTS)))
         raise OSError("other processes have claimed every block of ports")
--- a/packages/kitekeel-operators/src/kitekeel_operators/endpoints.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/endpoints.py
@@ -30,7 +30,7 @@
 
 KEY_HEADER = "Kitekeel-Operator-Key"
 
-_LARGEST_BODY_BYTES = 2 * 1024 * 1024
+_MAX_BODY_BYTES = 2 * 1024 * 1024
 _BAD_REQUEST = 400
 _FORBIDDEN = 403
 _CONFLICT = 409
@@ -150,8 +150,8 @@
 
 def _body(body_type: type[Body]) -> Body:
     length = int(cherrypy.request.headers.get("Content-Length") or 0)
-    if length > _LARGEST_BODY_BYTES:
-        raise ConfigurationError(f"a request may have {_LARGEST_BODY_BYTES} bytes")
+    if length > _MAX_BODY_BYTES:
+        raise ConfigurationError(f"a request may have {_MAX_BODY_BYTES} bytes")
     raw = cherrypy.request.rfile.read(length)
     try:
         return msgspec.json.decode(raw, type=body_type)
--- a/packages/kitekeel-platform/src/kitekeel_platform/configuration_store.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/configuration_store.py
@@ -31,7 +31,7 @@
 )
 
 _FIRST_PAUSE_SECONDS = 0.05
-_LONGEST_PAUSE_SECONDS = 0.5
+_MAX_PAUSE_SECONDS = 0.5
 
 Change = Callable[[Configuration], Configuration]
 
@@ -105,7 +105,7 @@
                     1.0,
                 )
             time.sleep(pause)
-            pause = min(_LONGEST_PAUSE_SECONDS, pause * 2)
+            pause = min(_MAX_PAUSE_SECONDS, pause * 2)
 
     def _write(
         self, base: Configuration, command_id: str, text: str, change: Change
--- a/packages/kitekeel-platform/src/kitekeel_platform/crash_record_sync.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/crash_record_sync.py
@@ -28,11 +28,11 @@
 # Makes up for a daemon that was lost before it had written, and drops what is too old.
 _REVIEW_SECONDS = 20.0
 # The daemon that found the last end writes at once; by then the others find it written.
-_LEAST_WAIT_FOR_OTHERS_SECONDS = 1.0
-_MOST_WAIT_FOR_OTHERS_SECONDS = 3.0
-_MOST_WRITES_OF_ONE_REVIEW = 50
+_MIN_WAIT_FOR_OTHERS_SECONDS = 1.0
+_MAX_WAIT_FOR_OTHERS_SECONDS = 3.0
+_MAX_WRITES_OF_ONE_REVIEW = 50
 # Ends often come in series; one review writes several.
-_LEAST_PAUSE_SECONDS = 0.5
+_MIN_PAUSE_SECONDS = 0.5
 
 DependencyListener = Callable[[str, bool, str], None]
 
@@ -94,7 +94,7 @@
         """Note what another daemon told, which writes it itself if it must last."""
         if self._must_last(change) and self._writes_for_others():
             seconds = self._random.uniform(
-                _LEAST_WAIT_FOR_OTHERS_SECONDS, _MOST_WAIT_FOR_OTHERS_SECONDS
+                _MIN_WAIT_FOR_OTHERS_SECONDS, _MAX_WAIT_FOR_OTHERS_SECONDS
             )
             asyncio.get_running_loop().call_later(seconds, self._wanted.set)
 
@@ -104,7 +104,7 @@
 
     async def _wait(self) -> None:
         """Wait until there is something to write, or for the next review of what is stored."""
-        await asyncio.sleep(_LEAST_PAUSE_SECONDS)
+        await asyncio.sleep(_MIN_PAUSE_SECONDS)
         must_review = bool(self._stored) and self._writes_for_others()
         try:
             await asyncio.wait_for(self._wanted.wait(), _REVIEW_SECONDS if must_review else None)
@@ -115,14 +115,14 @@
     async def _review(self) -> None:
         stored = await self._read()
         changes = [each for each in self._wanted_records(stored) if self._is_news(each, stored)]
-        for record in changes[:_MOST_WRITES_OF_ONE_REVIEW]:
+        for record in changes[:_MAX_WRITES_OF_ONE_REVIEW]:
             former = stored.get(record.identity)
             revision = former.revision if former is not None else 0
             await self._store.write_crash_record(StoredCrashRecord(record, revision))
         for each in stored.values():
             if self._ledger.is_old(each.record):
                 await self._store.remove_crash_record(each)
-        if len(changes) > _MOST_WRITES_OF_ONE_REVIEW:
+        if len(changes) > _MAX_WRITES_OF_ONE_REVIEW:
             self._wanted.set()
 
     async def claim_try(self, identity: str, reason: str) -> bool:
--- a/packages/kitekeel-platform/src/kitekeel_platform/lapsed_records.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/lapsed_records.py
@@ -14,7 +14,7 @@
 
 # Back ends leave a few at a time. An outage that this daemon did not notice shows as more at once.
 _MASS_SHARE = 1 / 3
-_LEAST_MASS = 3
+_MIN_MASS = 3
 
 
 def find_lapses(
@@ -28,7 +28,7 @@
         is_after_outage: whether the store has only just come back.
     """
     unannounced = tuple(each for each in items if _is_unannounced_removal(each, view))
-    is_mass = len(unannounced) >= max(_LEAST_MASS, _MASS_SHARE * len(view.all_back_ends()))
+    is_mass = len(unannounced) >= max(_MIN_MASS, _MASS_SHARE * len(view.all_back_ends()))
     return unannounced if is_after_outage or is_mass else ()
 
 
--- a/packages/kitekeel-platform/src/kitekeel_platform/watchers.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/watchers.py
@@ -17,7 +17,7 @@
 _WATCH_SECONDS = 20.0
 _IDLE_SECONDS = 0.5
 _FIRST_PAUSE_SECONDS = 0.25
-_LONGEST_PAUSE_SECONDS = 2.0
+_MAX_PAUSE_SECONDS = 2.0
 
 
 class ConfigurationWatch:
@@ -60,7 +60,7 @@
             except PlatformError as error:
                 self._on_failure(error)
                 stop.wait(pause)
-                pause = min(_LONGEST_PAUSE_SECONDS, 2 * pause)
+                pause = min(_MAX_PAUSE_SECONDS, 2 * pause)
 
 
 class MachineListPoll:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,8 +13,8 @@
 settings.register_profile("same-each-time", derandomize=True, database=None, deadline=None)
 settings.load_profile("same-each-time")
 
-_MOST_LINES_SHOWN = 2000
-_last_lines: deque[dict[str, Any]] = deque(maxlen=_MOST_LINES_SHOWN)
+_MAX_LINES_SHOWN = 2000
+_last_lines: deque[dict[str, Any]] = deque(maxlen=_MAX_LINES_SHOWN)
 
 # Without any destination eliot keeps up to 1,000 messages and hands them to the first one that is
 # added, so that a test of lines would be told those of the tests before it.
--- a/tests/message_strategies.py
+++ b/tests/message_strategies.py
@@ -8,10 +8,10 @@
 import msgspec
 from hypothesis import strategies as st
 
-_LEAST_INTEGER, _MOST_INTEGER = -(1 << 63), (1 << 64) - 1
-_ODD_INTEGERS = [0, 1, -1, _LEAST_INTEGER, _MOST_INTEGER, 1 << 53]
+_MIN_INTEGER, _MAX_INTEGER = -(1 << 63), (1 << 64) - 1
+_ODD_INTEGERS = [0, 1, -1, _MIN_INTEGER, _MAX_INTEGER, 1 << 53]
 _ODD_TEXTS = ["", "\x00", "127.0.0.1:1", "[::1]:99999", "a" * 300, "é\n", "north", "search"]
-_MOST_ITEMS = 4
+_MAX_ITEMS = 4
 
 
 def values_of(wanted: Any) -> st.SearchStrategy[Any]:
@@ -32,9 +32,9 @@
     if origin is tuple and arguments[-1] is not Ellipsis:
         return st.tuples(*(values_of(each) for each in arguments))
     if origin in (tuple, list, frozenset, set):
-        return st.lists(values_of(arguments[0]), max_size=_MOST_ITEMS).map(origin)
+        return st.lists(values_of(arguments[0]), max_size=_MAX_ITEMS).map(origin)
     if origin is dict:
-        return st.dictionaries(*(values_of(each) for each in arguments), max_size=_MOST_ITEMS)
+        return st.dictionaries(*(values_of(each) for each in arguments), max_size=_MAX_ITEMS)
     return _plain(wanted)
 
 
@@ -58,7 +58,7 @@
     if wanted is bool:
         return st.booleans()
     if wanted is int:
-        any_integer = st.integers(_LEAST_INTEGER, _MOST_INTEGER)
+        any_integer = st.integers(_MIN_INTEGER, _MAX_INTEGER)
         return st.one_of(st.sampled_from(_ODD_INTEGERS), st.integers(0, 9), any_integer)
     if wanted is float:
         return st.floats()
--- a/tests/soak/gateway_soak.py
+++ b/tests/soak/gateway_soak.py
@@ -43,10 +43,10 @@
 # logs had been sent to both, which had no free slot at that moment. One such is a breach for a
 # daemon that was asked 19 times.
 _CALM_PAUSE_SECONDS = 0.5
-_LEAST_CALM_SUCCESS = 0.95
+_MIN_CALM_SUCCESS = 0.95
 _CRASH_PAUSE_SECONDS = 0.25
 # What the users allow in all, later than some seconds after the third end.
-_MOST_LATE_CRASHES = 3
+_MAX_LATE_CRASHES = 3
 
 
 class SoakReport(msgspec.Struct, frozen=True):
@@ -155,7 +155,7 @@
         """Check that what ends back ends is kept from them once all faults are over."""
         runs = [each for each in fleet.runs if each.request_id.startswith(self._crash_name())]
         late = [each for each in runs if each.at > begin]
-        if len(late) > _MOST_LATE_CRASHES:
+        if len(late) > _MAX_LATE_CRASHES:
             told = f"{len(late)} of {len(runs)} runs once all faults were over"
             self._breaches.append(f"crashing: {told}")
 
@@ -211,7 +211,7 @@
         for number, daemon in enumerate(fleet.daemons):
             statuses = [each.status for each in calm if each.daemon == number]
             succeeded = sum(each == 200 for each in statuses)
-            if succeeded < _LEAST_CALM_SUCCESS * max(1, len(statuses)):
+            if succeeded < _MIN_CALM_SUCCESS * max(1, len(statuses)):
                 told = f"{succeeded} of {len(statuses)} succeeded once all faults were over"
                 self._breaches.append(f"not recovered: {daemon.name}, {told}")
                 failed = [each for each in calm if each.daemon == number and each.status != 200]
--- a/tests/soak/soak_checks.py
+++ b/tests/soak/soak_checks.py
@@ -11,7 +11,7 @@
 _NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 _UNDISTURBED_BEFORE_SECONDS = 1.0
 _STOP_IN_TIME_SHARE = 0.8
-_MOST_RESIDENT_BYTES = 150 * 1024 * 1024
+_MAX_RESIDENT_BYTES = 150 * 1024 * 1024
 
 
 def find_breaches(
@@ -26,7 +26,7 @@
     breaches += [f"unasked: {each}" for each in run_counts if each not in asked]
     for daemon in daemons:
         breaches += [f"own exit: {daemon.name}, status {each}" for each in daemon.own_exits]
-        if daemon.resident_bytes() > _MOST_RESIDENT_BYTES:
+        if daemon.resident_bytes() > _MAX_RESIDENT_BYTES:
             breaches.append(f"memory: {daemon.name} holds {daemon.resident_bytes()} bytes")
     return breaches
 
--- a/tests/soak/soak_faults.py
+++ b/tests/soak/soak_faults.py
@@ -9,8 +9,8 @@
 
 from kitekeel_lab.fault_proxy import FaultProxy, ProxyMode, ProxyRule
 
-_LONGEST_FAULT_SECONDS = 3.0
-_LONGEST_PAUSE_SECONDS = 0.8
+_MAX_FAULT_SECONDS = 3.0
+_MAX_PAUSE_SECONDS = 0.8
 
 _SPOILT_RECORDS = (b"", b"\xff\xfe", b"[" * 100_000, b'{"state": "unheard of"}', b"null")
 
@@ -58,7 +58,7 @@
         while asyncio.get_running_loop().time() < ends_at:
             fault = self._random.choice(self._kinds)
             tasks.append(asyncio.create_task(self._inject(fault)))
-            await asyncio.sleep(self._random.uniform(0.1, _LONGEST_PAUSE_SECONDS))
+            await asyncio.sleep(self._random.uniform(0.1, _MAX_PAUSE_SECONDS))
         await asyncio.gather(*tasks)
 
     async def _inject(self, fault: Fault) -> None:
@@ -66,7 +66,7 @@
         await fault()
 
     async def _pause(self) -> None:
-        await asyncio.sleep(self._random.uniform(0.3, _LONGEST_FAULT_SECONDS))
+        await asyncio.sleep(self._random.uniform(0.3, _MAX_FAULT_SECONDS))
 
     async def _kill(self) -> None:
         await self._fleet.restart(self._random.choice(self._fleet.daemons), signal.SIGKILL)
--- a/tests/test_back_end_quota.py
+++ b/tests/test_back_end_quota.py
@@ -28,8 +28,8 @@
 WINDOW_SECONDS = BACK_END_LIMIT_MARGIN.window_seconds
 LIMIT = "b/1"
 HOME = "region-0"
-LEAST_PAUSE_SECONDS = 0.08
-MOST_PAUSE_SECONDS = 0.2
+MIN_PAUSE_SECONDS = 0.08
+MAX_PAUSE_SECONDS = 0.2
 
 
 class SimulatedClock:
@@ -111,7 +111,7 @@
             return False
         granted = self._exchange(1 + self.stock.max_tokens(shares, daemons) - self.stock.tokens)
         if not granted:
-            pause = self.fleet.random.uniform(LEAST_PAUSE_SECONDS, MOST_PAUSE_SECONDS)
+            pause = self.fleet.random.uniform(MIN_PAUSE_SECONDS, MAX_PAUSE_SECONDS)
             self.refused_until = self.fleet.clock.now + pause
             return False
         self.stock.add(shares, daemons, int(granted) - 1)
--- a/tests/test_crash_simulation.py
+++ b/tests/test_crash_simulation.py
@@ -9,9 +9,9 @@
 from crash_simulation import Caller, Simulation
 
 # Three ends of its own, and two of a try each at most; several at one back end count for one alone.
-MOST_ENDS_FOR_ONE = 6
+MAX_ENDS_FOR_ONE = 6
 # A request that was answered before needs twice the ends; its tries are bounded in the same way.
-MOST_ENDS_FOR_ONE_ANSWERED_BEFORE = 9
+MAX_ENDS_FOR_ONE_ANSWERED_BEFORE = 9
 SEEDS = range(8)
 
 
@@ -44,7 +44,7 @@
     played = Simulation(good + bad, seed=seed)
     played.play(30.0)
     assert quarantined(played) == {each.identity for each in bad}
-    assert played.ended <= MOST_ENDS_FOR_ONE * count
+    assert played.ended <= MAX_ENDS_FOR_ONE * count
     before = [(each.sent, each.refused) for each in good]
     played.play(5.0)
     assert [(each.refused) for each in good] == [refused for _, refused in before]
@@ -76,7 +76,7 @@
     played.play(16.0)
     assert hot.refused == 0
     assert quarantined(played) == {each.identity for each in bad}
-    assert played.ended <= MOST_ENDS_FOR_ONE * len(bad)
+    assert played.ended <= MAX_ENDS_FOR_ONE * len(bad)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -88,7 +88,7 @@
     late_crasher.ends_back_ends = True
     played.play(30.0)
     assert quarantined(played) == {late_crasher.identity}
-    assert played.ended <= MOST_ENDS_FOR_ONE_ANSWERED_BEFORE
+    assert played.ended <= MAX_ENDS_FOR_ONE_ANSWERED_BEFORE
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -43,11 +43,11 @@
 
 # What the users allow: sends by daemons in touch later than this after the third end.
 CONTACT_SECONDS = 4.0
-MOST_SENDS_AFTER = 3
+MAX_SENDS_AFTER = 3
 # The news of the third end reaches every daemon within a second on the longest ways known.
 NEWS_SECONDS = 1.0
 # The aim is that everyone else is served; a back end that ends in its last try takes a few with it.
-LEAST_SERVED_SHARE = 0.98
+MIN_SERVED_SHARE = 0.98
 
 CRASHING_PATH = "crash"
 SLOW_PATH = "slow"
@@ -134,11 +134,11 @@
     arrivals = crashing_arrivals(back_ends, path)
     after_contact = [each for each in arrivals if each.at > ended_at + CONTACT_SECONDS]
     after_news = [each for each in arrivals if each.at > ended_at + NEWS_SECONDS]
-    assert len(after_contact) <= MOST_SENDS_AFTER, (route, len(arrivals))
-    assert len(after_news) <= MOST_SENDS_AFTER, (route, len(arrivals))
+    assert len(after_contact) <= MAX_SENDS_AFTER, (route, len(arrivals))
+    assert len(after_news) <= MAX_SENDS_AFTER, (route, len(arrivals))
     settled = ended_at + NEWS_SECONDS + 2.0
-    assert others.served_share(settled) >= LEAST_SERVED_SHARE, route
-    assert beside.served_share(settled) >= LEAST_SERVED_SHARE, route
+    assert others.served_share(settled) >= MIN_SERVED_SHARE, route
+    assert beside.served_share(settled) >= MIN_SERVED_SHARE, route
     refused = [status for at, status in crashing.answers if at > ended_at + NEWS_SECONDS]
     assert refused and set(refused) == {503}, (route, refused)
 
@@ -168,14 +168,14 @@
             lambda: all(quarantined(each) >= CRASHING_REQUEST_COUNT for each in gateways), 14.0
         )
         settled = time.monotonic() + NEWS_SECONDS
-    assert beside.served_share(settled) >= LEAST_SERVED_SHARE
+    assert beside.served_share(settled) >= MIN_SERVED_SHARE
 
 
 def test_a_request_answered_before_is_served_beside_many_crashing_ones() -> None:
     play(play_many_crashing_requests)
 
 
-LONGEST_NEWS_SECONDS = 3.0
+MAX_NEWS_SECONDS = 3.0
 
 
 async def end_three_back_ends(gateways: list[RunningGateway], path: str) -> None:
@@ -184,7 +184,7 @@
         status, _, _ = await ask(random.choice(gateways).callers, path, f"q{next(_ids)}")
         if status == 503:
             break
-    assert await until(lambda: all(quarantined(each) for each in gateways), LONGEST_NEWS_SECONDS)
+    assert await until(lambda: all(quarantined(each) for each in gateways), MAX_NEWS_SECONDS)
 
 
 def quarantined(entry: RunningGateway) -> int:
@@ -220,10 +220,10 @@
     async def scenario() -> None:
         store, back_ends, gateways = await crashing_fleet(gateways=2, back_ends=6)
         await end_three_back_ends(gateways, "/unsafe/crash")
-        assert await until(lambda: bool(store.crash_records), LONGEST_NEWS_SECONDS)
+        assert await until(lambda: bool(store.crash_records), MAX_NEWS_SECONDS)
         await RunningGateway.kill_all()
         later = [await RunningGateway(store, f"h{number}").start() for number in range(2)]
-        assert await until(lambda: all(quarantined(each) for each in later), LONGEST_NEWS_SECONDS)
+        assert await until(lambda: all(quarantined(each) for each in later), MAX_NEWS_SECONDS)
         assert await sends_after(later, back_ends, "/unsafe/crash") == 0
 
     play(scenario)
@@ -237,10 +237,10 @@
         assert not store.crash_records
         seeds = ", ".join(each.peers for each in gateways)
         late = await RunningGateway(store, "late", seeds).start()
-        assert await until(lambda: quarantined(late) == 1, LONGEST_NEWS_SECONDS)
+        assert await until(lambda: quarantined(late) == 1, MAX_NEWS_SECONDS)
         assert await sends_after([late], back_ends, "/unsafe/crash") == 0
         store.turned_away.clear()
-        assert await until(lambda: bool(store.crash_records), LONGEST_NEWS_SECONDS)
+        assert await until(lambda: bool(store.crash_records), MAX_NEWS_SECONDS)
 
     play(scenario)
 
@@ -252,7 +252,7 @@
         mended = [CrashingBackEnd(store, f"m{number}", version="2") for number in range(2)]
         for each in mended:
             await each.start()
-        await until(lambda: all(_knows(each, "m1") for each in gateways), LONGEST_NEWS_SECONDS)
+        await until(lambda: all(_knows(each, "m1") for each in gateways), MAX_NEWS_SECONDS)
         for _ in range(30):
             await ask(random.choice(gateways).callers, "/unsafe/crash", f"q{next(_ids)}")
             await asyncio.sleep(0.02)
@@ -269,7 +269,7 @@
         store, _, gateways = await crashing_fleet(gateways=1, back_ends=5)
         await end_three_back_ends(gateways, "/unsafe/crash")
         mended = await CrashingBackEnd(store, "m0", version="2", cold_seconds=20.0).start()
-        await until(lambda: _knows(gateways[0], "m0"), LONGEST_NEWS_SECONDS)
+        await until(lambda: _knows(gateways[0], "m0"), MAX_NEWS_SECONDS)
         for _ in range(80):
             await ask(gateways[0].callers, "/unsafe/crash", f"q{next(_ids)}")
             await asyncio.sleep(0.05)
@@ -286,10 +286,10 @@
             await asyncio.sleep(0.3)
         await store.put_back_end(draining(back_ends[0].record))
         mended = await CrashingBackEnd(store, "m0", version="2").start()
-        await until(lambda: _knows(gateways[0], "m0"), LONGEST_NEWS_SECONDS)
+        await until(lambda: _knows(gateways[0], "m0"), MAX_NEWS_SECONDS)
         assert await sends_after(gateways, [mended], "/unsafe/crash") == 0
         another = await CrashingBackEnd(store, "m1", version="2").start()
-        await until(lambda: _knows(gateways[0], "m1"), LONGEST_NEWS_SECONDS)
+        await until(lambda: _knows(gateways[0], "m1"), MAX_NEWS_SECONDS)
         for _ in range(20):
             await ask(gateways[0].callers, "/unsafe/crash", f"q{next(_ids)}")
             await asyncio.sleep(0.02)
@@ -305,12 +305,12 @@
         CrashingBackEnd.harmless_versions = frozenset({"2"})
         try:
             mended = await CrashingBackEnd(store, "m0", version="2").start()
-            await until(lambda: all(_knows(each, "m0") for each in gateways), LONGEST_NEWS_SECONDS)
+            await until(lambda: all(_knows(each, "m0") for each in gateways), MAX_NEWS_SECONDS)
             for _ in range(30):
                 await ask(gateways[0].callers, "/unsafe/crash", f"q{next(_ids)}")
                 await asyncio.sleep(0.02)
             released = await until(
-                lambda: not any(quarantined(each) for each in gateways), LONGEST_NEWS_SECONDS
+                lambda: not any(quarantined(each) for each in gateways), MAX_NEWS_SECONDS
             )
             assert released
             assert mended.arrivals
@@ -365,7 +365,7 @@
             await asyncio.to_thread(release, address, "nothing", SECRET)
         await asyncio.to_thread(release, address, reports[0].identity, SECRET)
         assert await until(
-            lambda: not any(quarantined(each) for each in gateways), LONGEST_NEWS_SECONDS
+            lambda: not any(quarantined(each) for each in gateways), MAX_NEWS_SECONDS
         )
 
     play(scenario)
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -14,9 +14,9 @@
 from kitekeel_steering.tenant_quota import LENDING_SECONDS
 
 GATEWAYS = 3
-LONGEST_JOIN_SECONDS = 12.0
-LONGEST_REFUSAL_SECONDS = 1.0
-LONGEST_PROPAGATION_SECONDS = 5.0
+MAX_JOIN_SECONDS = 12.0
+MAX_REFUSAL_SECONDS = 1.0
+MAX_PROPAGATION_SECONDS = 5.0
 
 
 async def gateways(store: MemoryStore) -> list[RunningGateway]:
@@ -99,7 +99,7 @@
         await ask_until_served(running[0], "g0")
         late = await RunningGateway(store, "g9", seeds=running[0].peers).start()
         members = late.gateway.membership.table
-        assert await until(lambda: len(members.live()) == GATEWAYS + 1, LONGEST_JOIN_SECONDS)
+        assert await until(lambda: len(members.live()) == GATEWAYS + 1, MAX_JOIN_SECONDS)
         assert await until(lambda: late.gateway.rate_limit("b0") == 5.0, 3.0)
 
     play(scenario)
@@ -144,18 +144,16 @@
         running = await gateways(store)
         back_end.rate_limit = "300"
         await ask_until_served(running[0], "unknown-start")
-        assert await until(lambda: limits(running, "b0") == {300.0}, LONGEST_PROPAGATION_SECONDS)
+        assert await until(lambda: limits(running, "b0") == {300.0}, MAX_PROPAGATION_SECONDS)
         await store.put_back_end(msgspec.structs.replace(back_end.record, started_at_ms=5))
-        assert await until(
-            lambda: all_know_start_time(running, "b0", 5), LONGEST_PROPAGATION_SECONDS
-        )
+        assert await until(lambda: all_know_start_time(running, "b0", 5), MAX_PROPAGATION_SECONDS)
         back_end.rate_limit = "200"
         await ask_until_served(running[0], "known-start")
-        assert await until(lambda: limits(running, "b0") == {200.0}, LONGEST_PROPAGATION_SECONDS)
+        assert await until(lambda: limits(running, "b0") == {200.0}, MAX_PROPAGATION_SECONDS)
         assert quota_call_times
         back_end.rate_limit = ""
         await ask_until_served(running[0], "no-limit")
-        assert await until(lambda: limits(running, "b0") == {None}, LONGEST_PROPAGATION_SECONDS)
+        assert await until(lambda: limits(running, "b0") == {None}, MAX_PROPAGATION_SECONDS)
         deadline = time.monotonic() + 2 * LENDING_SECONDS
         await asyncio.sleep(6 * LENDING_SECONDS)
         assert [at for at in quota_call_times if at > deadline] == []
@@ -178,7 +176,7 @@
             await ask(running[0].callers, "/safe/x", f"warm-{number}", key=str(number))
         assert await until(lambda: limits(running, "b0") == limits(running, "b1") == {2.0}, 2.0)
         refusal_seconds, answers = await ask_concurrently(running, "/unsafe/x", "r")
-        assert refusal_seconds < LONGEST_REFUSAL_SECONDS
+        assert refusal_seconds < MAX_REFUSAL_SECONDS
         ran = {each for back_end in back_ends for each in back_end.ran}
         refused = [number for number, each in enumerate(answers) if each[0] == 503]
         assert len(refused) >= 40
--- a/tests/test_header_fuzz.py
+++ b/tests/test_header_fuzz.py
@@ -7,7 +7,7 @@
 from kitekeel_daemon.answer_headers import read_cold_seconds, read_load
 from kitekeel_steering.fleet_items import MAX_COLD_SECONDS, MAX_SLOTS
 from kitekeel_steering.proxied_messages import end_to_end, find_cookie, find_header
-from kitekeel_steering.stated_numbers import LARGEST_NUMBER, whole_number
+from kitekeel_steering.stated_numbers import MAX_NUMBER, whole_number
 
 NUMBERS = st.one_of(
     st.floats().map(lambda number: str(number).encode()),
@@ -59,7 +59,7 @@
 @given(st.binary(max_size=400))
 def test_a_stated_number_is_possible_or_missing(value: bytes) -> None:
     number = whole_number(value)
-    assert number is None or 0 <= number <= LARGEST_NUMBER
+    assert number is None or 0 <= number <= MAX_NUMBER
 
 
 @given(HEADERS, st.text(max_size=8))
--- a/tests/test_late_slots.py
+++ b/tests/test_late_slots.py
@@ -29,8 +29,8 @@
 
 CLASS = "patron"
 DEADLINE = 10.0
-LEAST_SECONDS = 1.0
-LONGEST_SECONDS = 5.0
+MIN_SECONDS = 1.0
+MAX_SECONDS = 5.0
 ANSWER_COUNT = 4_000
 MAX_LATE_SHARE = 0.05
 
@@ -64,12 +64,12 @@
 
     def _run(self) -> None:
         try:
-            self.outcome = self._admission.acquire(CLASS, DEADLINE, least_seconds=LEAST_SECONDS)
+            self.outcome = self._admission.acquire(CLASS, DEADLINE, least_seconds=MIN_SECONDS)
         except NoRoomError as error:
             self.outcome = error
 
     def join(self) -> SlotHold | NoRoomError | None:
-        self._thread.join(LONGEST_SECONDS)
+        self._thread.join(MAX_SECONDS)
         return self.outcome
 
 
@@ -100,7 +100,7 @@
     admission = one_slot(clock)
     first = admission.acquire(CLASS, DEADLINE)
     waiting = Waiting(admission)
-    clock.advance(DEADLINE - LEAST_SECONDS + 0.1)
+    clock.advance(DEADLINE - MIN_SECONDS + 0.1)
     admission.release(first)
     assert isinstance(waiting.join(), NoRoomError)
     assert admission.pools()[0].in_use == 0
@@ -117,7 +117,7 @@
 
     def wait_and_wake_late(self: ServiceAdmission, waiter: Waiter, latest_start: float) -> None:
         wait(self, waiter, latest_start)
-        clock.advance(DEADLINE - LEAST_SECONDS + 0.1)
+        clock.advance(DEADLINE - MIN_SECONDS + 0.1)
 
     monkeypatch.setattr(ServiceAdmission, "_wait", wait_and_wake_late)
     waiting = Waiting(admission)
--- a/tests/test_limited_fleet.py
+++ b/tests/test_limited_fleet.py
@@ -17,8 +17,8 @@
 BACK_ENDS = 6
 PER_SECOND = 110.0
 IN_TIME_SECONDS = 0.5
-LEAST_USED = 0.7
-LEAST_IN_TIME = 0.97
+MIN_USED = 0.7
+MIN_IN_TIME = 0.97
 
 
 async def limited_fleet(
@@ -55,10 +55,10 @@
             used = back_end.arrival_rate(begin + WINDOW_SECONDS, begin + 12.0) / rate
             print(f"limit {rate}: most {most}, allowed {allowed(rate)}, used {used:.2f}")
             assert most <= allowed(rate)
-            assert used >= LEAST_USED
+            assert used >= MIN_USED
         in_time = traffic.fraction_in_time(IN_TIME_SECONDS)
         print(f"statuses {traffic.statuses()}, in time {in_time:.3f}")
-        assert in_time >= LEAST_IN_TIME
+        assert in_time >= MIN_IN_TIME
 
     play(scenario)
 
--- a/tests/test_news_model.py
+++ b/tests/test_news_model.py
@@ -31,7 +31,7 @@
 PART = FleetPart.BACK_ENDS
 ZONES = {"n1": "north", "n2": "north", "s1": "south"}
 FIRST_DAEMONS = 12
-MOST_DAEMONS = 16
+MAX_DAEMONS = 16
 STEP_SECONDS = 0.1
 # A watcher's probe of the store, and the time until it notices that the store does not answer.
 PROBE_SECONDS = 1.2
@@ -50,7 +50,7 @@
 # 6 s while the store turns machines away.
 WATCHERS_LOST_STORE_SECONDS = 5.0
 
-daemon_numbers = st.integers(0, MOST_DAEMONS - 1)
+daemon_numbers = st.integers(0, MAX_DAEMONS - 1)
 
 
 class Daemon:
@@ -184,7 +184,7 @@
 
     @rule()
     def daemon_is_added(self) -> None:
-        if len(self.daemons) < MOST_DAEMONS:
+        if len(self.daemons) < MAX_DAEMONS:
             self.daemons.append(Daemon(len(self.daemons), self.clock, self.daemons))
 
     @rule(lost=st.booleans())
--- a/tests/test_peer_fuzz.py
+++ b/tests/test_peer_fuzz.py
@@ -47,7 +47,7 @@
 TIMEOUT_SECONDS = 5.0
 EXAMPLES = 150
 # A call on one machine takes some milliseconds; far more would hold up the others' heartbeats.
-LONGEST_SECONDS = 1.0
+MAX_SECONDS = 1.0
 # Codes that say that the message was taken, could not be read, or cannot be followed.
 TOLD_CODES = {
     grpc.StatusCode.OK,
@@ -84,7 +84,7 @@
     except grpc.RpcError as error:
         return error.code()
     finally:
-        assert time.monotonic() - begin < LONGEST_SECONDS
+        assert time.monotonic() - begin < MAX_SECONDS
     return grpc.StatusCode.OK
 
 
--- a/tests/test_platform_boundary.py
+++ b/tests/test_platform_boundary.py
@@ -6,7 +6,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-MOST_LINES = 1500
+MAX_LINES = 1500
 # Header names, paths, keys and fields of the platform's pages.
 WORDS = [
     r"request-id(?<!kitekeel-request-id)",
@@ -48,5 +48,5 @@
 
 def test_the_adapter_stays_small_and_shadows_no_module() -> None:
     files = [each for each in (ROOT / "platform").rglob("*.py") if "tests" not in each.parts]
-    assert sum(len(each.read_text().splitlines()) for each in files) < MOST_LINES
+    assert sum(len(each.read_text().splitlines()) for each in files) < MAX_LINES
     assert not (ROOT / "platform" / "__init__.py").exists()
--- a/tests/test_region_bursts.py
+++ b/tests/test_region_bursts.py
@@ -20,7 +20,7 @@
 from region_traffic import RegionTraffic, largest_move
 
 # What the users state for their deployments, with the windows' length.
-MOST_MOVED = 0.15
+MAX_MOVED = 0.15
 WINDOW_SECONDS = 2.0
 # Half of the region's slots are busy with it.
 USUAL_REQUESTS_A_SECOND = 185.0
@@ -39,12 +39,12 @@
 
 @pytest.mark.parametrize("factor", [1.0, 1.7])
 def test_usual_bursts_move_few_requests_to_other_regions(factor: float) -> None:
-    assert moved_by_burst(factor) <= MOST_MOVED
+    assert moved_by_burst(factor) <= MAX_MOVED
 
 
 def test_a_large_burst_moves_requests_to_other_regions_within_the_bound() -> None:
     moved = {factor: moved_by_burst(factor) for factor in (2.5, 4.0)}
-    assert all(share <= MOST_MOVED for share in moved.values()), moved
+    assert all(share <= MAX_MOVED for share in moved.values()), moved
 
 
 def test_a_region_that_stays_overloaded_gives_keys_to_others_step_by_step() -> None:
@@ -63,4 +63,4 @@
     first_seconds = refused[int(begin) + 5] - refused[int(begin)]
     last_seconds = refused[int(end)] - refused[int(end) - 5]
     assert last_seconds < 0.7 * first_seconds
-    assert largest_move(traffic.placed, "middle", WARM_AFTER_SECONDS, WINDOW_SECONDS) <= MOST_MOVED
+    assert largest_move(traffic.placed, "middle", WARM_AFTER_SECONDS, WINDOW_SECONDS) <= MAX_MOVED
--- a/tests/test_region_moves.py
+++ b/tests/test_region_moves.py
@@ -33,7 +33,7 @@
 
 # What the users state for their deployments: part of a region's requests, from one window to the
 # next, and the windows' length.
-MOST_MOVED = 0.15
+MAX_MOVED = 0.15
 WINDOW_SECONDS = 2.0
 DAEMONS = 4
 # Each object is asked for twice in a window, so that what moves is not the luck of the draw.
@@ -169,8 +169,8 @@
 
 def test_a_change_of_plan_moves_requests_between_regions_step_by_step() -> None:
     moved = {name: largest_move(play()) for name, play in CHANGES.items()}
-    assert all(share <= MOST_MOVED for share in moved.values()), moved
+    assert all(share <= MAX_MOVED for share in moved.values()), moved
 
 
 def test_the_end_of_a_zone_s_warm_up_moves_few_requests_between_regions() -> None:
-    assert largest_move(a_zone_ends_its_warm_up()) <= MOST_MOVED
+    assert largest_move(a_zone_ends_its_warm_up()) <= MAX_MOVED
--- a/tests/test_retried_slots.py
+++ b/tests/test_retried_slots.py
@@ -14,9 +14,9 @@
 from kitekeel_steering.errors import QueueFullError
 from kitekeel_steering.grant_table import SlotHold
 
-LONGEST_SECONDS = 5.0
+MAX_SECONDS = 5.0
 # Leaves one waiting place for each class.
-LEAST_QUEUE_SHARE = 1e-9
+MIN_QUEUE_SHARE = 1e-9
 
 
 class SingleSlotQueue:
@@ -25,14 +25,14 @@
     def __init__(self) -> None:
         self.admission: ServiceAdmission = one_slot(ManualClock())
         configuration = self.admission._configuration
-        self.admission.configure(configuration, LEAST_QUEUE_SHARE)
+        self.admission.configure(configuration, MIN_QUEUE_SHARE)
         self._threads = ThreadPoolExecutor(4)
 
     def submit(self, again: SlotHold | None = None) -> Future[SlotHold]:
         """Request the slot in a thread, and return once the request is queued or done."""
         before = self.length()
         acquired = self._threads.submit(self.admission.acquire, CLASS, DEADLINE, frozenset(), again)
-        deadline = time.monotonic() + LONGEST_SECONDS
+        deadline = time.monotonic() + MAX_SECONDS
         while self.length() == before and not acquired.done() and time.monotonic() < deadline:
             time.sleep(0.001)
         return acquired
@@ -48,7 +48,7 @@
     first = queue.admission.acquire(CLASS, DEADLINE)
     second = queue.submit()
     queue.admission.release(first)
-    second_hold = second.result(LONGEST_SECONDS)
+    second_hold = second.result(MAX_SECONDS)
     third = queue.submit()
     return second_hold, third, queue.submit(again=first)
 
@@ -57,10 +57,10 @@
     queue = SingleSlotQueue()
     second_hold, third, retry = retry_behind_a_full_queue(queue)
     queue.admission.release(second_hold)
-    retried_hold = retry.result(LONGEST_SECONDS)
+    retried_hold = retry.result(MAX_SECONDS)
     assert not third.done()
     queue.admission.release(retried_hold)
-    third.result(LONGEST_SECONDS)
+    third.result(MAX_SECONDS)
 
 
 def test_a_new_request_is_refused_at_once_while_a_retry_exceeds_the_waiting_places() -> None:
@@ -69,5 +69,5 @@
     with pytest.raises(QueueFullError):
         queue.admission.acquire(CLASS, DEADLINE)
     for each in (second_hold, retry, third):
-        hold = each.result(LONGEST_SECONDS) if isinstance(each, Future) else each
+        hold = each.result(MAX_SECONDS) if isinstance(each, Future) else each
         queue.admission.release(hold)
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -12,7 +12,7 @@
 from kitekeel_steering.clock import ManualClock
 
 ZONES = {"n1": "north", "n2": "north", "s1": "south"}
-SHORTEST_DEPARTURE_SECONDS = 2.5
+MIN_DEPARTURE_SECONDS = 2.5
 
 
 def member(name: str, zone: str = "n1", **changes: object) -> MemberRecord:
@@ -184,7 +184,7 @@
         found = duty(clock, seed)
         found.note_news(0.2)
         waited = seconds_until_watching(clock, found, age=None)
-        assert 1.7 < waited < SHORTEST_DEPARTURE_SECONDS - 0.2
+        assert 1.7 < waited < MIN_DEPARTURE_SECONDS - 0.2
 
 
 @pytest.mark.parametrize(
