--- a/packages/kitekeel-operators/src/kitekeel_operators/changes.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/changes.py
@@ -1,4 +1,4 @@
-"""What each command changes in the configuration, with checks of what it names."""
+"""Applies commands to the configuration, and validates the names and values in them."""
 
 from __future__ import annotations
 
@@ -37,7 +37,8 @@
     """Return the configuration with the command applied.
 
     Raises:
-        ConfigurationError: the command names something unknown or does not fit.
+        ConfigurationError: the command refers to an unknown item, or its values are not allowed
+            in this configuration.
     """
     match command:
         case ShiftCommand():
@@ -51,16 +52,16 @@
         case CapShiftCommand():
             return _cap_shift(configuration, command)
         case SetClassCommand() | SetServiceCommand() | SetSlotsCommand():
-            return _set(configuration, command)
+            return _change_setting(configuration, command)
         case ApplyCommand():
             return _apply(configuration, command)
 
 
 def _shift(configuration: Configuration, command: ShiftCommand) -> Configuration:
-    _require(command.service, (each.name for each in configuration.services), "service")
+    _require_known(command.service, (each.name for each in configuration.services), "service")
     regions = [each.name for each in configuration.regions]
-    _require(command.source, regions, "region")
-    _require(command.target, regions, "region")
+    _require_known(command.source, regions, "region")
+    _require_known(command.target, regions, "region")
     if command.source == command.target:
         raise ConfigurationError("a shift goes from one region to another")
     if not 0 < command.share <= 1:
@@ -77,11 +78,11 @@
         command.ramp_seconds,
     )
     others = [each for each in configuration.shifts if each.name != command.name]
-    _check_sum(others, shift)
+    _check_total_share(others, shift)
     return msgspec.structs.replace(configuration, shifts=(*others, shift))
 
 
-def _check_sum(others: Iterable[Shift], shift: Shift) -> None:
+def _check_total_share(others: Iterable[Shift], shift: Shift) -> None:
     total = shift.share + sum(
         each.share
         for each in others
@@ -98,7 +99,7 @@
         return msgspec.structs.replace(configuration, shifts=rest)
     cancelled = msgspec.structs.replace(shift, cancelled=True)
     return msgspec.structs.replace(
-        configuration, shifts=_replaced(configuration.shifts, shift, cancelled)
+        configuration, shifts=_replace_item(configuration.shifts, shift, cancelled)
     )
 
 
@@ -108,7 +109,7 @@
         DrainScope.ZONE: [zone for each in configuration.regions for zone in each.zones],
         DrainScope.REGION: [each.name for each in configuration.regions],
     }
-    _require(command.name, names[command.scope], command.scope.value)
+    _require_known(command.name, names[command.scope], command.scope.value)
     drain = Drain(command.scope, command.name)
     others = tuple(each for each in configuration.drains if each != drain)
     if command.undo and len(others) == len(configuration.drains):
@@ -123,7 +124,7 @@
         raise ConfigurationError(f"no link between '{command.first}' and '{command.second}'")
     changed = msgspec.structs.replace(link, request_limit=command.limit)
     return msgspec.structs.replace(
-        configuration, links=_replaced(configuration.links, link, changed)
+        configuration, links=_replace_item(configuration.links, link, changed)
     )
 
 
@@ -131,11 +132,11 @@
     shift = _find(configuration.shifts, command.name, "shift")
     changed = msgspec.structs.replace(shift, slot_cap=command.limit)
     return msgspec.structs.replace(
-        configuration, shifts=_replaced(configuration.shifts, shift, changed)
+        configuration, shifts=_replace_item(configuration.shifts, shift, changed)
     )
 
 
-def _set(
+def _change_setting(
     configuration: Configuration,
     command: SetClassCommand | SetServiceCommand | SetSlotsCommand,
 ) -> Configuration:
@@ -144,7 +145,7 @@
         if command.slots < 1:
             raise ConfigurationError("a back end has at least 1 slot; drain it to use none")
         changed = msgspec.structs.replace(back_end, slots=command.slots)
-        back_ends = _replaced(configuration.back_ends, back_end, changed)
+        back_ends = _replace_item(configuration.back_ends, back_end, changed)
         return msgspec.structs.replace(configuration, back_ends=back_ends)
     service = _find(
         configuration.services,
@@ -154,18 +155,18 @@
     if isinstance(command, SetClassCommand):
         changed_service = _set_class(service, command)
     else:
-        changed_service = _with_given(
+        changed_service = _replace_given_fields(
             service,
             longest_run_seconds=command.longest_run_seconds,
             warm_up_seconds=command.warm_up_seconds,
         )
-    services = _replaced(configuration.services, service, changed_service)
+    services = _replace_item(configuration.services, service, changed_service)
     return msgspec.structs.replace(configuration, services=services)
 
 
 def _set_class(service: Service, command: SetClassCommand) -> Service:
     priority_class = _find(service.classes, command.name, "class")
-    changed: PriorityClass = _with_given(
+    changed: PriorityClass = _replace_given_fields(
         priority_class,
         sure_share=command.sure_share,
         most_share=command.most_share,
@@ -173,7 +174,7 @@
     )
     if not 0 <= changed.sure_share <= changed.most_share <= 1:
         raise ConfigurationError("a class needs 0% <= sure <= most <= 100%")
-    classes = _replaced(service.classes, priority_class, changed)
+    classes = _replace_item(service.classes, priority_class, changed)
     if sum(each.sure_share for each in classes) > 1:
         raise ConfigurationError("the sure shares of a service exceed 100% together")
     ranked = tuple(sorted(classes, key=lambda each: each.rank))
@@ -181,7 +182,7 @@
 
 
 def _apply(configuration: Configuration, command: ApplyCommand) -> Configuration:
-    """Take places and services from a text; drains and shifts of what is still there stay."""
+    """Replace the configuration by that of a text; keep drains and shifts of items still in it."""
     given = parse_configuration(command.text)
     zones = {zone for each in given.regions for zone in each.zones}
     names = {
@@ -206,22 +207,22 @@
     )
 
 
-def _with_given(item: Item, **given: object) -> Item:
+def _replace_given_fields(item: Item, **given: object) -> Item:
     changes = {name: value for name, value in given.items() if value is not None}
     return msgspec.structs.replace(item, **changes)
 
 
-def _replaced(items: Iterable[Item], old: Item, new: Item) -> tuple[Item, ...]:
+def _replace_item(items: Iterable[Item], old: Item, new: Item) -> tuple[Item, ...]:
     return tuple(new if each is old else each for each in items)
 
 
 def _find(items: Iterable[Item], name: str, kind: str) -> Item:
     known = {str(getattr(each, "name", "")): each for each in items}
-    _require(name, known, kind)
+    _require_known(name, known, kind)
     return known[name]
 
 
-def _require(name: str, known: Iterable[str], kind: str) -> None:
+def _require_known(name: str, known: Iterable[str], kind: str) -> None:
     names = list(known)
     if name not in names:
         raise ConfigurationError(f"no {kind} '{name}'; there are: {', '.join(names) or 'none'}")
--- a/packages/kitekeel-operators/src/kitekeel_operators/endpoints.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/endpoints.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface: CherryPy's dispatcher over the daemon's operations."""
+"""The operators' HTTP interface: CherryPy handlers that call the daemon's operations."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 KEY_HEADER = "Kitekeel-Operator-Key"
 
-_LARGEST_BODY_BYTES = 2 * 1024 * 1024
+_MAX_BODY_BYTES = 2 * 1024 * 1024
 _BAD_REQUEST = 400
 _FORBIDDEN = 403
 _CONFLICT = 409
@@ -41,13 +41,13 @@
 
 
 class Operations(Protocol):
-    """What the daemon does for operators."""
+    """Operations of a daemon that operators can call."""
 
     def query(self, subject: Subject) -> QueryReply:
-        """Return a table of what is true now."""
+        """Return a table of the current state of a subject."""
 
     def command(self, command: Command, text: str, command_id: str, dry_run: bool) -> CommandReply:
-        """Carry a command out."""
+        """Execute a command, or only check it in a dry run."""
 
     def events(self) -> EventsReply:
         """Return the daemon's events."""
@@ -57,7 +57,7 @@
 
 
 class OperatorEndpoints:
-    """Handlers of ``/v1/...``; every one but the OpenAPI document needs the operators' key."""
+    """Handlers of ``/v1/...``; all but the OpenAPI document require the operators' key."""
 
     def __init__(self, operations: Operations, key: str) -> None:
         self._operations = operations
@@ -66,27 +66,27 @@
     @cherrypy.expose
     def query(self) -> bytes:
         """Run a query."""
-        return self._answer(lambda: self._query(_body(StatementRequest)))
+        return self._respond(lambda: self._query(_read_body(StatementRequest)))
 
     @cherrypy.expose
     def command(self) -> bytes:
         """Run a command."""
-        return self._answer(lambda: self._command(_body(StatementRequest)))
+        return self._respond(lambda: self._command(_read_body(StatementRequest)))
 
     @cherrypy.expose
     def apply(self) -> bytes:
         """Apply a configuration text."""
-        return self._answer(lambda: self._apply(_body(ApplyRequest)))
+        return self._respond(lambda: self._apply(_read_body(ApplyRequest)))
 
     @cherrypy.expose
     def events(self) -> bytes:
-        """Return events."""
-        return self._answer(self._operations.events)
+        """Return the events of this daemon."""
+        return self._respond(self._operations.events)
 
     @cherrypy.expose
     def stop(self) -> bytes:
         """Begin a planned stop of this daemon."""
-        return self._answer(self._stop)
+        return self._respond(self._stop)
 
     @cherrypy.expose
     def openapi(self) -> bytes:
@@ -114,16 +114,16 @@
         self._operations.stop()
         return FailureReply("stopping", "the daemon leaves, finishes its work and stops")
 
-    def _answer(self, operation: Callable[[], msgspec.Struct]) -> bytes:
+    def _respond(self, operation: Callable[[], msgspec.Struct]) -> bytes:
         cherrypy.response.headers["Content-Type"] = "application/json"
-        given = str(cherrypy.request.headers.get(KEY_HEADER, ""))
-        if not hmac.compare_digest(given.encode(), self._key):
+        given_key = str(cherrypy.request.headers.get(KEY_HEADER, ""))
+        if not hmac.compare_digest(given_key.encode(), self._key):
             cherrypy.response.status = _FORBIDDEN
             return msgspec.json.encode(FailureReply("operator-key", "the operators' key is wrong"))
         try:
             return msgspec.json.encode(operation())
         except KitekeelError as error:
-            cherrypy.response.status = _status(error)
+            cherrypy.response.status = _http_status(error)
             failure = FailureReply(error.code, error.message, error.retry_after_seconds)
             return msgspec.json.encode(failure)
 
@@ -142,16 +142,16 @@
             }
         }
     )
-    # Counters tell of calls; the log has lines for changes of state only.
+    # Counters cover the calls; the log records only changes of state.
     application.log.access_log.disabled = True
     application.log.error_log.disabled = True
     return application
 
 
-def _body(body_type: type[Body]) -> Body:
+def _read_body(body_type: type[Body]) -> Body:
     length = int(cherrypy.request.headers.get("Content-Length") or 0)
-    if length > _LARGEST_BODY_BYTES:
-        raise ConfigurationError(f"a request may have {_LARGEST_BODY_BYTES} bytes")
+    if length > _MAX_BODY_BYTES:
+        raise ConfigurationError(f"a request may have {_MAX_BODY_BYTES} bytes")
     raw = cherrypy.request.rfile.read(length)
     try:
         return msgspec.json.decode(raw, type=body_type)
@@ -159,7 +159,7 @@
         raise ConfigurationError(f"the request is not the documented JSON: {error}") from error
 
 
-def _status(error: KitekeelError) -> int:
+def _http_status(error: KitekeelError) -> int:
     if isinstance(error, ConfigurationConflictError):
         return _CONFLICT
     if isinstance(error, PlatformError | ConfigurationOutcomeUnknownError):
--- a/packages/kitekeel-operators/src/kitekeel_operators/language.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/language.py
@@ -1,4 +1,4 @@
-"""Parses the query and command language; an error names the column and what was expected there."""
+"""Parser of the query and command language; errors give the column and the expected tokens."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 
 class LanguageError(KitekeelError):
-    """A statement that is not of the language.
+    """The text is not a valid statement of the language.
 
     Attributes:
-        column: from 1.
-        expected: words or kinds of words that could stand there.
+        column: position of the error, counted from 1.
+        expected: keywords or kinds of tokens that are valid at that position.
     """
 
     code = "syntax"
@@ -47,10 +47,10 @@
 
 
 def parse_statement(text: str) -> Statement:
-    """Return the statement in a text.
+    """Parse a text into a statement.
 
     Raises:
-        LanguageError: it is none.
+        LanguageError: the text is not a valid statement.
 
     Example:
         >>> parse_statement("show zones")
@@ -60,15 +60,15 @@
         tree = _parser().parse(text)
     except lark.UnexpectedInput as error:
         raise _language_error(error, text) from error
-    statement: Statement = _Builder().transform(tree)
+    statement: Statement = _StatementBuilder().transform(tree)
     return statement
 
 
 def parse_command(text: str) -> Command:
-    """Return the command in a text.
+    """Parse a text into a command.
 
     Raises:
-        LanguageError: it is none.
+        LanguageError: the text is not a valid statement, or it is a query.
     """
     statement = parse_statement(text)
     if isinstance(statement, Query):
@@ -85,7 +85,7 @@
 def _language_error(error: lark.UnexpectedInput, text: str) -> LanguageError:
     parser = _parser()
     allowed = getattr(error, "accepts", None) or getattr(error, "allowed", None) or set()
-    expected = tuple(sorted(_describe(parser, name) for name in allowed))
+    expected = tuple(sorted(_describe_terminal(parser, name) for name in allowed))
     if isinstance(error, lark.UnexpectedToken) and error.token.type != "$END":
         return LanguageError(error.column, f"'{error.token}'", expected)
     if isinstance(error, lark.UnexpectedCharacters):
@@ -93,7 +93,7 @@
     return LanguageError(len(text) + 1, "the end", expected)
 
 
-def _describe(parser: lark.Lark, terminal: str) -> str:
+def _describe_terminal(parser: lark.Lark, terminal: str) -> str:
     kinds = {
         "NAME": "a name",
         "NUMBER": "a whole number",
@@ -108,8 +108,8 @@
     return f"'{pattern.value}'" if pattern is not None else terminal
 
 
-class _Builder(lark.Transformer[Any, Any]):
-    """Turns the tree into a statement."""
+class _StatementBuilder(lark.Transformer[Any, Any]):
+    """Transforms the parse tree into a statement; its methods are named after grammar rules."""
 
     def start(self, children: list[Statement]) -> Statement:
         return children[0]
@@ -129,9 +129,9 @@
             service=service,
             source=source,
             target=target,
-            share=_percent(options["PERCENT"]),
+            share=_parse_percentage(options["PERCENT"]),
             slot_cap=int(options.get("NUMBER", "0")),
-            ramp_seconds=_DEFAULT_RAMP_SECONDS if duration is None else _seconds(duration),
+            ramp_seconds=_DEFAULT_RAMP_SECONDS if duration is None else _parse_seconds(duration),
             name=name,
         )
 
@@ -154,10 +154,10 @@
         return SetClassCommand(str(children[0]), str(children[1]), **children[2])
 
     def sure(self, children: list[lark.Token]) -> dict[str, float]:
-        return {"sure_share": _percent(children[0])}
+        return {"sure_share": _parse_percentage(children[0])}
 
     def most(self, children: list[lark.Token]) -> dict[str, float]:
-        return {"most_share": _percent(children[0])}
+        return {"most_share": _parse_percentage(children[0])}
 
     def rank(self, children: list[lark.Token]) -> dict[str, int]:
         return {"rank": int(children[0])}
@@ -166,18 +166,18 @@
         return SetServiceCommand(str(children[0]), **children[1])
 
     def longest_run(self, children: list[lark.Token]) -> dict[str, float]:
-        return {"longest_run_seconds": _seconds(children[0])}
+        return {"longest_run_seconds": _parse_seconds(children[0])}
 
     def warm_up(self, children: list[lark.Token]) -> dict[str, float]:
-        return {"warm_up_seconds": _seconds(children[0])}
+        return {"warm_up_seconds": _parse_seconds(children[0])}
 
     def set_slots(self, children: list[lark.Token]) -> SetSlotsCommand:
         return SetSlotsCommand(str(children[0]), int(children[1]))
 
 
-def _percent(text: str) -> float:
+def _parse_percentage(text: str) -> float:
     return float(text.removesuffix("%")) / 100
 
 
-def _seconds(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     return parse_duration(text) or 0.0
