--- a/packages/kitekeel-operators/src/kitekeel_operators/__init__.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/__init__.py
@@ -1,1 +1,1 @@
-"""Query and command language, operator end points, the kitekeel binary."""
+"""The operators' query and command language, HTTP endpoints and ``kitekeel`` command line."""
--- a/packages/kitekeel-operators/src/kitekeel_operators/__main__.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the operators' command line: ``python -m kitekeel_operators ...``."""
+"""Entry point of ``python -m kitekeel_operators``, the operators' command line."""
 
 from kitekeel_operators.cli import main
 
--- a/packages/kitekeel-operators/src/kitekeel_operators/client.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/client.py
@@ -1,4 +1,4 @@
-"""Calls the operators' interface of a daemon."""
+"""HTTP client of the operators' interface of a daemon."""
 
 from __future__ import annotations
 
@@ -30,16 +30,20 @@
 
 
 class UnreadableReplyError(DaemonUnreachableError):
-    """Something answers at the address, but not with a document of the operators' interface.
+    """A reply came from the address, but it is not a valid document of the operators' interface.
 
-    A daemon that is just starting does so, whose server has no thread for the call yet.
+    This happens while a daemon starts, when its server has no thread for the call yet.
     """
 
     code = "unreadable-reply"
 
 
 class OperatorRefusedError(KitekeelError):
-    """The daemon refused; its code and message are given."""
+    """The daemon refused the call.
+
+    Attributes:
+        refusal_code: the error code in the daemon's reply.
+    """
 
     code = "refused"
 
@@ -49,16 +53,17 @@
 
 
 class OperatorClient:
-    """Talks to one daemon's operators' interface.
+    """Client of one daemon's operators' interface.
 
     Args:
         address: ``IP:port``.
         key: the operators' key.
-        timeout_seconds: of one call; a command waits for the daemons to confirm.
+        timeout_seconds: timeout of one call; a command returns once all daemons have confirmed it
+            or the called daemon stops waiting for them.
     """
 
     def __init__(self, address: str, key: str, timeout_seconds: float = 20.0) -> None:
-        self._base = f"http://{address}/v1"
+        self._base_url = f"http://{address}/v1"
         self._headers = {KEY_HEADER: key, "Content-Type": "application/json"}
         self._timeout_seconds = timeout_seconds
         self._http = urllib3.PoolManager(retries=False)
@@ -88,13 +93,13 @@
         try:
             response = self._http.request(
                 "POST",
-                f"{self._base}/{path}",
+                f"{self._base_url}/{path}",
                 body=payload,
                 headers=self._headers,
                 timeout=self._timeout_seconds,
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise DaemonUnreachableError(f"no daemon answers at {self._base}") from error
+            raise DaemonUnreachableError(f"no daemon answers at {self._base_url}") from error
         if response.status != _OK:
             raise OperatorRefusedError(self._decode(response, FailureReply))
         return self._decode(response, reply_type)
@@ -103,5 +108,5 @@
         try:
             return msgspec.json.decode(response.data, type=reply_type)
         except msgspec.MsgspecError as error:
-            text = f"what answers at {self._base} with status {response.status} is not readable"
+            text = f"what answers at {self._base_url} with status {response.status} is not readable"
             raise UnreadableReplyError(f"{text}: {error}") from error
--- a/packages/kitekeel-operators/src/kitekeel_operators/crash_records.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/crash_records.py
@@ -1,4 +1,4 @@
-"""Asks gateway daemons for the requests that end back ends, and releases them."""
+"""Lists the requests that crash back ends, from gateway daemons, and releases them."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     CrashReport,
 )
 
-_NO_RECORD = "crash-record-unknown"
-_WRONG_SECRET = "secret-wrong"
+_RECORD_UNKNOWN_CODE = "crash-record-unknown"
+_SECRET_WRONG_CODE = "secret-wrong"
 
 
 def fetch_crash_reports(address: str) -> list[CrashReport]:
-    """Return what the gateway with this metrics address knows.
+    """Return the crash reports of the gateway with this metrics address.
 
     Raises:
-        DaemonUnreachableError: it did not answer, or not as a gateway does.
+        DaemonUnreachableError: it did not answer, or its reply is not valid.
     """
     body = call_gateway("GET", address, CRASH_RECORDS_PATH, {}).data
     try:
@@ -35,22 +35,22 @@
 
 
 def release(address: str, identity: str, secret: str) -> None:
-    """Release a request at every daemon; the one that is asked tells the others.
+    """Release a request at every daemon; the called daemon informs the others.
 
     Raises:
         DaemonUnreachableError: it did not answer.
-        OperatorRefusedError: the secret is wrong, or nothing is known of the request.
+        OperatorRefusedError: the secret is wrong, or there is no record of the request.
     """
     path = f"{CRASH_RECORDS_PATH}/{identity}{RELEASE_SUFFIX}"
     status = call_gateway("POST", address, path, {SECRET_HEADER.decode(): secret}).status
     if status == HTTPStatus.FORBIDDEN:
-        raise _refusal(_WRONG_SECRET, "the daemons' shared secret is wrong")
+        raise _refusal(_SECRET_WRONG_CODE, "the daemons' shared secret is wrong")
     if status != HTTPStatus.OK:
-        raise _refusal(_NO_RECORD, f"nothing is known of request {identity}")
+        raise _refusal(_RECORD_UNKNOWN_CODE, f"nothing is known of request {identity}")
 
 
 def format_crash_reports(reports: list[CrashReport]) -> str:
-    """Return the reports as text, the quarantined ones first."""
+    """Return the reports as text, quarantined requests first."""
     if not reports:
         return "no request has ended back ends"
     now = time.time()
--- a/packages/kitekeel-operators/src/kitekeel_operators/describe.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/describe.py
@@ -1,4 +1,4 @@
-"""Says in words what differs between two configurations."""
+"""Describes the differences between two configurations as text."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def describe_changes(old: Configuration, new: Configuration) -> tuple[str, ...]:
-    """Return one line for each thing added, removed or changed."""
+    """Return one line for each item that was added, removed or changed."""
     lines: list[str] = []
     for section in _SECTIONS:
         before = _by_name(getattr(old, section))
@@ -40,12 +40,12 @@
 
 def _differences(old: msgspec.Struct, new: msgspec.Struct) -> str:
     parts = [
-        f"{field} {_plain(getattr(old, field))} -> {_plain(getattr(new, field))}"
+        f"{field} {_to_json(getattr(old, field))} -> {_to_json(getattr(new, field))}"
         for field in old.__struct_fields__
         if getattr(old, field) != getattr(new, field)
     ]
     return ", ".join(parts)
 
 
-def _plain(value: object) -> str:
+def _to_json(value: object) -> str:
     return msgspec.json.encode(value).decode()
--- a/packages/kitekeel-operators/src/kitekeel_operators/gateway_calls.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/gateway_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a gateway daemon's metrics address."""
+"""HTTP calls to a gateway daemon's metrics address."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 def call_gateway(
     method: str, address: str, path: str, headers: dict[str, str]
 ) -> urllib3.BaseHTTPResponse:
-    """Return a gateway's answer.
+    """Return the response of a gateway, whatever its status.
 
     Raises:
-        DaemonUnreachableError: it did not answer.
+        DaemonUnreachableError: the gateway did not answer.
     """
     url = f"http://{address}{path}"
     try:
--- a/packages/kitekeel-operators/src/kitekeel_operators/messages.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers of the operators' HTTP interface, as JSON."""
+"""JSON requests and replies of the operators' HTTP interface."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     """A statement to run.
 
     Attributes:
-        command_id: repeats of a command under the same id take effect once.
-        dry_run: check the command and say what it would change, and change nothing.
+        command_id: idempotency key; a command repeated with the same id takes effect once.
+        dry_run: check the command and report what it would change, without changing anything.
     """
 
     text: str
@@ -29,10 +29,10 @@
 
 
 class CommandReply(msgspec.Struct, frozen=True):
-    """What became of a command.
+    """The result of a command.
 
     Attributes:
-        revision: the revision that has it; for a dry run the one that it would change.
+        revision: the revision that contains the change; for a dry run, the one it would change.
         in_force: instances on which the revision is in force.
         missing: instances that have not confirmed it.
     """
@@ -46,10 +46,10 @@
 
 
 class QueryReply(msgspec.Struct, frozen=True):
-    """A table.
+    """The result of a query as a table.
 
     Attributes:
-        rows: as many cells as there are columns.
+        rows: the rows, each with one cell for every column.
     """
 
     columns: tuple[str, ...]
@@ -65,7 +65,7 @@
 
 
 class FailureReply(msgspec.Struct, frozen=True):
-    """Why a request was not done."""
+    """The code and message of a failed request; also the reply to a stop request."""
 
     code: str
     message: str
--- a/packages/kitekeel-operators/src/kitekeel_operators/statements.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/statements.py
@@ -10,7 +10,7 @@
 
 
 class Subject(enum.Enum):
-    """What a query shows."""
+    """The subject of a query."""
 
     SERVICES = "services"
     REGIONS = "regions"
@@ -27,7 +27,7 @@
 
 
 class Query(msgspec.Struct, frozen=True):
-    """Shows what is true now."""
+    """Shows the current state of a subject."""
 
     subject: Subject
 
@@ -45,13 +45,13 @@
 
 
 class CancelShiftCommand(msgspec.Struct, frozen=True):
-    """Returns a shift's traffic on its ramp; a shift already cancelled is removed."""
+    """Cancels a shift, whose traffic returns along its ramp; removes one already cancelled."""
 
     name: str
 
 
 class DrainCommand(msgspec.Struct, frozen=True):
-    """Ends new work for a place, or lets it begin again."""
+    """Drains a back end, zone or region, so that it gets no new work, or undoes that."""
 
     scope: DrainScope
     name: str
@@ -59,7 +59,7 @@
 
 
 class CapLinkCommand(msgspec.Struct, frozen=True):
-    """Sets the most requests in flight over a link; 0 lifts the limit."""
+    """Sets the maximum number of requests in flight over a link; 0 removes the limit."""
 
     first: str
     second: str
@@ -67,14 +67,14 @@
 
 
 class CapShiftCommand(msgspec.Struct, frozen=True):
-    """Sets the most moved requests running at once; 0 lifts the cap."""
+    """Sets the maximum number of concurrent requests moved by a shift; 0 removes the cap."""
 
     name: str
     limit: int
 
 
 class SetClassCommand(msgspec.Struct, frozen=True):
-    """Changes one setting of a class; the others are ``None``."""
+    """Changes one setting of a priority class; the other settings are ``None``."""
 
     service: str
     name: str
@@ -84,7 +84,7 @@
 
 
 class SetServiceCommand(msgspec.Struct, frozen=True):
-    """Changes one setting of a service; the other is ``None``."""
+    """Changes one setting of a service; the other setting is ``None``."""
 
     name: str
     longest_run_seconds: float | None = None
@@ -92,14 +92,14 @@
 
 
 class SetSlotsCommand(msgspec.Struct, frozen=True):
-    """Changes a back end's slots."""
+    """Sets the number of slots of a back end."""
 
     back_end: str
     slots: int
 
 
 class ApplyCommand(msgspec.Struct, frozen=True):
-    """Replaces places, links, services and back ends by those of an INI text."""
+    """Replaces regions, zones, links, services and back ends by those of an INI text."""
 
     text: str
 
--- a/packages/kitekeel-operators/src/kitekeel_operators/tables.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/tables.py
@@ -1,4 +1,4 @@
-"""Prints replies for people."""
+"""Formats replies as text for the command line."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def format_command(reply: CommandReply) -> str:
-    """Return what became of a command."""
+    """Return the result of a command as text."""
     if reply.dry_run:
         lines = [f"dry run against revision {reply.revision}; nothing was changed"]
     else:
--- a/packages/kitekeel-operators/src/kitekeel_operators/tenant_use.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/tenant_use.py
@@ -1,4 +1,4 @@
-"""Asks gateway daemons for their tenants' use of their limits, and adds it up over all daemons."""
+"""Fetches the tenants' use of their limits from all gateway daemons and adds it up."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from kitekeel_operators.gateway_calls import call_gateway
 from kitekeel_steering.tenant_reports import TENANTS_PATH, TenantReport, TenantsReply
 
-_CALLS_AT_ONCE = 16
+_MAX_CONCURRENT_CALLS = 16
 
 
 class TenantUse(msgspec.Struct, frozen=True):
@@ -18,9 +18,10 @@
 
     Attributes:
         silent: metrics addresses of daemons that did not answer; their requests are not counted.
-        versions: versions of the configuration that the daemons have; more than one while a change
-            is on its way.
-        without_keeper: names of daemons that admit an equal part, as no keeper of tokens answers.
+        versions: configuration versions that the daemons have; more than one while a change is
+            still being distributed.
+        without_keeper: names of daemons that admit only an equal share of the limit, because no
+            token keeper answers them.
     """
 
     tenants: tuple[TenantReport, ...]
@@ -31,21 +32,21 @@
 
 
 def fetch_tenant_use(address: str) -> TenantUse:
-    """Return the use at the gateway with this metrics address and at all that it knows.
+    """Return the use at the gateway with this metrics address and at all gateways it knows.
 
     Raises:
-        DaemonUnreachableError: the first one did not answer, or not as a gateway does.
+        DaemonUnreachableError: the first gateway did not answer, or its reply is not valid.
     """
     first = _fetch(address)
     replies, silent = [first], []
-    with ThreadPoolExecutor(_CALLS_AT_ONCE) as calls:
-        for other, reply in zip(first.others, calls.map(_try_fetch, first.others), strict=True):
+    with ThreadPoolExecutor(_MAX_CONCURRENT_CALLS) as executor:
+        for other, reply in zip(first.others, executor.map(_try_fetch, first.others), strict=True):
             if reply is None:
                 silent.append(other)
             else:
                 replies.append(reply)
     return TenantUse(
-        _sum_up(replies),
+        _total_by_tenant(replies),
         len(replies),
         tuple(silent),
         tuple(sorted({each.configuration_version for each in replies})),
@@ -54,7 +55,7 @@
 
 
 def format_tenant_use(use: TenantUse) -> str:
-    """Return the use as text, the tenants that are refused most first."""
+    """Return the use as text, sorted by refused requests in descending order."""
     versions = ", ".join(map(str, use.versions))
     lines = [f"{use.daemons} daemons, configuration {versions}; requests a second"]
     lines.append(f"{'tenant':24}{'limit':>10}{'burst':>8}{'admitted':>10}{'refused':>9}  keys")
@@ -71,8 +72,8 @@
     return "\n".join(lines)
 
 
-def _sum_up(replies: list[TenantsReply]) -> tuple[TenantReport, ...]:
-    """Return the sums; limits are those of the daemon with the newest configuration."""
+def _total_by_tenant(replies: list[TenantsReply]) -> tuple[TenantReport, ...]:
+    """Return the total use per tenant; limits are those of the newest configuration version."""
     newest = max(replies, key=lambda each: each.configuration_version)
     admitted: dict[str, float] = {}
     refused: dict[str, float] = {}
@@ -87,7 +88,7 @@
 
 
 def _try_fetch(address: str) -> TenantsReply | None:
-    """Return a daemon's reply; ``None`` for one that does not answer, which the result names."""
+    """Return a daemon's reply, or ``None`` if it does not answer; the caller reports it."""
     try:
         return _fetch(address)
     except DaemonUnreachableError:
