--- a/packages/kitekeel-callers/src/kitekeel_callers/entries.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/entries.py
@@ -1,4 +1,4 @@
-"""Look-ups: which daemons a caller may use, prepared when the state changes, not when asked."""
+"""Look-ups of the daemons that a caller may use, with short-lived cached answers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 ENTRIES_PATH = "/v1/entries"
 
 _REFRESH_SECONDS = 5.0
-_MOST_ENTRIES = 8
+_MAX_ENTRIES = 8
 
 
 class EntryMachine(msgspec.Struct, frozen=True):
@@ -35,10 +35,10 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """One line of a look-up's answer.
+    """One daemon in the answer to a look-up.
 
     Attributes:
-        home_token: makes this daemon the home of the keys that begin with it.
+        home_token: keys that start with this token have this daemon as their home.
     """
 
     address: str
@@ -48,7 +48,7 @@
 
 
 class EntriesBody(msgspec.Struct, frozen=True):
-    """The answer to a look-up, the best entry first."""
+    """The answer to a look-up, with the nearest entries first."""
 
     service: str
     max_age_seconds: int
@@ -56,14 +56,14 @@
 
 
 class EntryTiming(msgspec.Struct, frozen=True):
-    """How long answers may be cached and tokens used, in seconds."""
+    """How long answers may be cached and tokens are valid, in seconds."""
 
     max_age_seconds: int
     token_life_seconds: int
 
 
-class _Prepared(msgspec.Struct, frozen=True):
-    """Answers for one service and one zone, one for each rotation of the nearest entries."""
+class _PreparedAnswers(msgspec.Struct, frozen=True):
+    """Cached answers for one service and zone, one per rotation of the nearest entries."""
 
     answers: tuple[OwnAnswer, ...]
     prepared_at: float
@@ -75,12 +75,12 @@
 
     Args:
         machines: returns the daemons that callers may be sent to.
-        state: returns a number that changes with the machines.
-        configuration: returns the configuration in force.
-        zone: this daemon's zone; callers that name none count as near to it.
+        state: returns a number that changes whenever the machines change.
+        configuration: returns the current configuration.
+        zone: this daemon's zone, assumed for callers that name none or an unknown one.
         signer: signs home tokens.
-        clock: times the answers and the tokens.
-        timing: lives of answers and tokens.
+        clock: dates the answers and the tokens.
+        timing: lifetimes of answers and tokens.
         metrics: counts look-ups.
     """
 
@@ -103,7 +103,7 @@
         self._clock = clock
         self._timing = timing
         self._metrics = metrics
-        self._prepared: dict[tuple[str, str], _Prepared] = {}
+        self._prepared: dict[tuple[str, str], _PreparedAnswers] = {}
         self._lock = threading.Lock()
 
     def __call__(self, environment: Environment, start_response: StartResponse) -> Iterable[bytes]:
@@ -118,31 +118,33 @@
         return [answer.body]
 
     def answer(self, service: str, zone: str, block: str) -> OwnAnswer:
-        """Return the prepared answer for a service, a caller's zone and its client block."""
+        """Return the cached answer for a service, a caller's zone and its client block."""
         configuration = self._configuration()
         if configuration.revision == 0:
             return error_answer(NoConfigurationError("no configuration is known yet", 1.0))
         if configuration.find_service(service) is None:
             return error_answer(UnknownServiceError(f"no service '{service}'"))
-        prepared = self._fresh(configuration, service, zone)
+        prepared = self._get_prepared(configuration, service, zone)
         rotation = xxhash.xxh32_intdigest(block.encode()) % len(prepared.answers)
         return prepared.answers[rotation]
 
-    def _fresh(self, configuration: Configuration, service: str, zone: str) -> _Prepared:
+    def _get_prepared(
+        self, configuration: Configuration, service: str, zone: str
+    ) -> _PreparedAnswers:
         if not any(zone in region.zones for region in configuration.regions):
             zone = self._zone
         state = (configuration.revision, self._state())
-        found = self._prepared.get((service, zone))
+        cached = self._prepared.get((service, zone))
         now = self._clock.monotonic()
-        if found and found.state == state and now - found.prepared_at < _REFRESH_SECONDS:
-            return found
+        if cached and cached.state == state and now - cached.prepared_at < _REFRESH_SECONDS:
+            return cached
         with self._lock:
-            answers = self._prepare(configuration, service, zone)
-            prepared = _Prepared(answers, now, state)
+            answers = self._build_answers(configuration, service, zone)
+            prepared = _PreparedAnswers(answers, now, state)
             self._prepared[(service, zone)] = prepared
             return prepared
 
-    def _prepare(
+    def _build_answers(
         self, configuration: Configuration, service: str, zone: str
     ) -> tuple[OwnAnswer, ...]:
         region = next((each.name for each in configuration.regions if zone in each.zones), "")
@@ -152,15 +154,17 @@
             return machine.zone != zone, seconds, machine.region != region
 
         machines = sorted(self._machines(), key=lambda each: (distance(each), each.instance))
-        # Callers spread over the nearest machines only. Where a zone's last daemon had stopped,
-        # they went to daemons of all regions, a block of clients to one: twice its usual load.
-        near = sum(distance(each) == distance(machines[0]) for each in machines)
-        rotations = max(1, near)
+        # Rotate only the nearest machines. When a rotation covered all regions, callers of a zone
+        # whose last daemon had stopped were sent to distant daemons, and one block of clients
+        # doubled the load of a daemon.
+        nearest_count = sum(distance(each) == distance(machines[0]) for each in machines)
+        rotations = max(1, nearest_count)
         return tuple(
-            self._answer(service, _rotate(machines, rotations, turn)) for turn in range(rotations)
+            self._build_answer(service, _rotate(machines, rotations, offset))
+            for offset in range(rotations)
         )
 
-    def _answer(self, service: str, machines: list[EntryMachine]) -> OwnAnswer:
+    def _build_answer(self, service: str, machines: list[EntryMachine]) -> OwnAnswer:
         expires_at = int(self._clock.wall()) + self._timing.token_life_seconds
         entries = tuple(
             Entry(
@@ -169,7 +173,7 @@
                 each.zone,
                 self._signer.sign(HomeToken(each.instance, expires_at)),
             )
-            for each in machines[:_MOST_ENTRIES]
+            for each in machines[:_MAX_ENTRIES]
         )
         body = EntriesBody(service, self._timing.max_age_seconds, entries)
         headers = (
@@ -179,6 +183,6 @@
         return json_answer(HTTPStatus.OK, msgspec.json.encode(body), headers)
 
 
-def _rotate(machines: list[EntryMachine], count: int, turn: int) -> list[EntryMachine]:
-    """Return the machines with the first few turned, so that callers spread over them."""
-    return machines[turn:count] + machines[:turn] + machines[count:]
+def _rotate(machines: list[EntryMachine], count: int, offset: int) -> list[EntryMachine]:
+    """Return the machines with the first ``count`` rotated, to spread callers over them."""
+    return machines[offset:count] + machines[:offset] + machines[count:]
--- a/packages/kitekeel-callers/src/kitekeel_callers/idempotency.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/idempotency.py
@@ -1,4 +1,4 @@
-"""At most once: finds the home of a request's key, and there runs the request a single time."""
+"""At-most-once execution: a request with an idempotency key runs only on its key's home daemon."""
 
 from __future__ import annotations
 
@@ -25,64 +25,64 @@
 from kitekeel_steering.http_messages import StreamedAnswer
 from kitekeel_steering.key_table import KeptAnswer, KeyRecord, KeyState, KeyTable
 
-_LONGEST_KEPT_BODY_BYTES = 64 * 1024
-_HOME_CHANGE_SECONDS = 2.0
-_HOME_CHANGE_PAUSE_SECONDS = 0.1
+_MAX_KEPT_BODY_BYTES = 64 * 1024
+_HOME_FAILOVER_TIMEOUT_SECONDS = 2.0
+_HOME_FAILOVER_POLL_SECONDS = 0.1
 
 RunOnce = Callable[[CallerRequest, float], StreamedAnswer]
 
 
 class Home(msgspec.Struct, frozen=True):
-    """Where the keys of an instance are answered for at present."""
+    """The daemon that currently serves the keys of an instance."""
 
     instance: str
     caller_address: str
 
 
 class HomeDirectory(Protocol):
-    """Knows which daemon answers for an instance's keys."""
+    """Resolves an instance to the daemon that serves its keys."""
 
     def own_instance(self) -> str:
         """Return this daemon's instance."""
 
     def resolve(self, instance: str) -> Home | None:
-        """Return the live daemon that answers for the keys; ``None`` where there is none."""
+        """Return the live daemon that serves the instance's keys, or ``None`` if there is none."""
 
 
 class Claims(Protocol):
-    """Finds a home for keys that name none."""
+    """Assigns a home to keys that carry no home token."""
 
     def claim(self, key: str) -> str:
         """Return the instance that is the key's home."""
 
 
 class Relay(Protocol):
-    """Passes a request on to another daemon."""
+    """Forwards a request to another daemon."""
 
     def relay(self, home: Home, request: CallerRequest, deadline: float) -> StreamedAnswer:
         """Return the other daemon's answer."""
 
 
 class KeptAnswerError(KitekeelError):
-    """A repeat of a finished request: carries the kept answer."""
+    """Raised for a repeat of a finished request; carries the stored answer."""
 
     code = "kept-answer"
 
     def __init__(self, answer: KeptAnswer) -> None:
-        super().__init__("the request has run before")
+        super().__init__("the request has already run")
         self.answer = answer
 
 
 class IdempotentRequests:
-    """Runs requests that may not be repeated.
+    """Runs each non-repeatable request at most once.
 
     Args:
-        signer: checks home tokens.
-        table: the keys homed here.
-        homes: finds other homes.
-        claims: finds a home for keys without a token.
-        relay: passes requests on to their home.
-        clock: its wall clock judges the tokens' expiry.
+        signer: verifies home tokens.
+        table: the keys whose home is this daemon.
+        homes: resolves instances to daemons.
+        claims: assigns a home to keys without a token.
+        relay: forwards requests to their home.
+        clock: its wall clock is compared with the expiry of tokens.
         claim_life_seconds: how long a claimed key is remembered.
     """
 
@@ -105,25 +105,25 @@
         self._claim_life_seconds = claim_life_seconds
 
     def run(self, request: CallerRequest, deadline: float, run_once: RunOnce) -> StreamedAnswer:
-        """Run the request at its home, or return what is known of an earlier attempt.
+        """Run the request at its home, or report the outcome of an earlier attempt.
 
         Raises:
-            NotRunError: neither this attempt nor an earlier one was run.
-            OutcomeUnknownError: one of them may have been.
-            KeptAnswerError: an earlier attempt was answered, as given in the error.
+            NotRunError: neither this attempt nor an earlier one has run.
+            OutcomeUnknownError: this attempt or an earlier one may have run.
+            KeptAnswerError: an earlier attempt was answered; the error carries that answer.
         """
         if not request.key:
             raise IdempotencyKeyRequiredError(
                 "a request that may not be repeated needs an Idempotency-Key: "
-                "the home token of a look-up, '.', and a part of your own"
+                "the home token from a look-up, a '.', and a suffix of your choice"
             )
         token = self._home_token(request.key)
         home = self._homes.resolve(token.instance)
         if home is not None and home.instance == self._homes.own_instance():
             return self._run_at_home(request, token, deadline, run_once)
         if request.relayed:
-            raise HomeUnreachableError("the key's home is not here", 1.0)
-        return self._run_elsewhere(request, token.instance, deadline)
+            raise HomeUnreachableError("this daemon is not the key's home", 1.0)
+        return self._relay_to_home(request, token.instance, deadline)
 
     def _home_token(self, key: str) -> HomeToken:
         text, _ = split_key(key)
@@ -142,15 +142,15 @@
             try:
                 record = self._table.begin(key, _fingerprint(request), token.expires_at)
             except HomeMovedError:
-                return self._run_elsewhere(request, token.instance, deadline)
+                return self._relay_to_home(request, token.instance, deadline)
             if record is None:
-                return self._run_first(request, deadline, run_once)
+                return self._run_first_attempt(request, deadline, run_once)
             remaining = max(0.0, deadline - steady_seconds())
             ended = self._table.wait(record, remaining)
             if ended is not None:
-                raise _earlier_outcome(ended)
+                raise _earlier_attempt_error(ended)
 
-    def _run_first(
+    def _run_first_attempt(
         self, request: CallerRequest, deadline: float, run_once: RunOnce
     ) -> StreamedAnswer:
         try:
@@ -161,43 +161,43 @@
         except BaseException:
             self._table.mark_unknown(request.key)
             raise
-        pieces = _KeptPieces(answer, request.key, self._table)
+        pieces = _RecordingPieces(answer, request.key, self._table)
         return msgspec.structs.replace(answer, pieces=pieces)
 
-    def _run_elsewhere(
+    def _relay_to_home(
         self, request: CallerRequest, instance: str, deadline: float
     ) -> StreamedAnswer:
-        """Pass the request on to its home.
+        """Forward the request to its home.
 
-        A failed connect sends nothing, so another daemon may be tried once it is known to have
-        taken the home's keys over.
+        A failed connect sends nothing, so the request may be sent to another daemon as soon as
+        that daemon is known to have taken over the home's keys.
         """
-        give_up_at = min(deadline, steady_seconds() + _HOME_CHANGE_SECONDS)
-        tried = ""
+        give_up_at = min(deadline, steady_seconds() + _HOME_FAILOVER_TIMEOUT_SECONDS)
+        last_tried = ""
         while True:
             home = self._homes.resolve(instance)
             is_other = home is not None and home.instance != self._homes.own_instance()
-            if home is not None and is_other and home.instance != tried:
+            if home is not None and is_other and home.instance != last_tried:
                 try:
                     return self._relay.relay(home, request, deadline)
                 except ConnectFailedError:
-                    tried = home.instance
+                    last_tried = home.instance
                 except NoRoomError as error:
-                    # True of this attempt, but the home alone knows of an earlier one.
+                    # This attempt has not run, but only the home knows whether an earlier one has.
                     raise HomeUnreachableError(error.message, 1.0) from error
             if home is None or steady_seconds() >= give_up_at:
                 raise HomeUnreachableError("the key's home cannot be reached", 1.0)
-            time.sleep(_HOME_CHANGE_PAUSE_SECONDS)
+            time.sleep(_HOME_FAILOVER_POLL_SECONDS)
 
 
-class _KeptPieces(Iterator[bytes]):
-    """Passes an answer's body on and keeps it for repeats of the request."""
+class _RecordingPieces(Iterator[bytes]):
+    """Yields an answer's body and stores it for repeats of the request."""
 
     def __init__(self, answer: StreamedAnswer, key: str, table: KeyTable) -> None:
         self._answer = answer
         self._key = key
         self._table = table
-        self._kept: bytearray | None = bytearray()
+        self._recorded: bytearray | None = bytearray()
         self._ended = False
 
     def __next__(self) -> bytes:
@@ -207,33 +207,33 @@
             self._finish()
             raise
         except BaseException:
-            self._end_unknown()
+            self._finish_unknown()
             raise
-        self._keep(piece)
+        self._record(piece)
         return piece
 
     def close(self) -> None:
-        """Read the rest, so that a repeat gets the answer though this caller went away."""
+        """Read the rest of the body, so that a repeat gets the answer if this caller has left."""
         try:
             while not self._ended:
                 next(self)
         except (StopIteration, OutcomeUnknownError):
             return
 
-    def _keep(self, piece: bytes) -> None:
-        if self._kept is None:
+    def _record(self, piece: bytes) -> None:
+        if self._recorded is None:
             return
-        self._kept += piece
-        if len(self._kept) > _LONGEST_KEPT_BODY_BYTES:
-            self._kept = None
+        self._recorded += piece
+        if len(self._recorded) > _MAX_KEPT_BODY_BYTES:
+            self._recorded = None
 
     def _finish(self) -> None:
         self._ended = True
-        body = None if self._kept is None else bytes(self._kept)
+        body = None if self._recorded is None else bytes(self._recorded)
         answer = KeptAnswer(self._answer.status, self._answer.headers, body)
         self._table.finish(self._key, answer)
 
-    def _end_unknown(self) -> None:
+    def _finish_unknown(self) -> None:
         self._ended = True
         self._table.mark_unknown(self._key)
 
@@ -242,7 +242,7 @@
     return f"{request.service} {request.forwarded.method} {request.forwarded.target}"
 
 
-def _earlier_outcome(record: KeyRecord) -> KitekeelError:
+def _earlier_attempt_error(record: KeyRecord) -> KitekeelError:
     if record.state is KeyState.FINISHED and record.answer is not None:
         return KeptAnswerError(record.answer)
-    return OutcomeUnknownError("an earlier attempt may have run; it is not run again")
+    return OutcomeUnknownError("an earlier attempt may have run; the request is not run again")
--- a/packages/kitekeel-callers/src/kitekeel_callers/intake.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/intake.py
@@ -1,4 +1,4 @@
-"""The WSGI application that takes callers' requests."""
+"""The WSGI application that runs callers' requests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     CallerRequest,
     Environment,
     RequestReader,
-    stated_key,
+    read_idempotency_key,
 )
 from kitekeel_callers.idempotency import IdempotentRequests, KeptAnswerError
 from kitekeel_steering.clock import steady_seconds
@@ -31,39 +31,39 @@
 from kitekeel_steering.metrics import Metrics
 from kitekeel_steering.request_phases import Phase
 
-_OWN_STATUS_HEADER = "Kitekeel-Answer-Status"
-_NOT_KEPT = "answer-not-kept"
+_ANSWER_STATUS_HEADER = "Kitekeel-Answer-Status"
+_NOT_KEPT_CODE = "answer-not-kept"
 
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
 
 
 class RequestRunner(Protocol):
-    """Runs a request at some back end."""
+    """Runs a request on a back end."""
 
     def is_ready(self) -> bool:
-        """Tell whether there is a configuration to go by."""
+        """Return whether a configuration has been loaded."""
 
     def run(self, request: CallerRequest, deadline: float) -> StreamedAnswer:
-        """Return a back end's answer, or raise why there is none."""
+        """Return a back end's answer, or raise an error that says why there is none."""
 
 
-class EndedRequests(Protocol):
-    """Takes requests that have ended."""
+class EndedRequestObserver(Protocol):
+    """Is notified of each request that has ended."""
 
     def note_ended(self, request: CallerRequest, outcome: str, cause: str) -> None:
-        """Take a request whose phases have ended, what its caller was told, and why."""
+        """Record an ended request with the outcome sent to its caller and the cause."""
 
 
 class Intake:
-    """Takes requests, and answers each with its back end's answer or one of its own.
+    """Answers each request with its back end's answer or a locally generated one.
 
     Args:
-        reader: reads requests.
-        runner: runs them.
-        idempotent: wraps those that may not be repeated.
+        reader: parses requests.
+        runner: runs requests on back ends.
+        idempotent: runs non-repeatable requests at most once.
         metrics: counts outcomes.
-        ended: takes requests that have ended.
-        is_leaving: while true, callers are asked to close their connections.
+        ended: is notified of each ended request.
+        is_leaving: while it returns true, answers carry ``Connection: close``.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         runner: RequestRunner,
         idempotent: IdempotentRequests,
         metrics: Metrics,
-        ended: EndedRequests,
+        ended: EndedRequestObserver,
         is_leaving: Callable[[], bool],
     ) -> None:
         self._reader = reader
@@ -88,20 +88,24 @@
         try:
             request = self._reader.read(environment)
         except NotRunError as error:
-            return self._own(error_answer(error, bool(stated_key(environment))), start_response)
+            return self._respond_locally(
+                error_answer(error, bool(read_idempotency_key(environment))), start_response
+            )
         request.phases.enter(Phase.KEY)
         try:
             answer = self._run(request)
             request.phases.enter(Phase.ANSWER)
             first_piece = next(answer.pieces, b"")
         except KeptAnswerError as error:
-            return self._own_ended(request, _kept_answer(error.answer), error, start_response)
+            return self._respond_with_error(
+                request, _kept_answer(error.answer), error, start_response
+            )
         except KitekeelError as error:
-            return self._own_ended(request, error_answer(error), error, start_response)
-        return self._streamed(request, answer, first_piece, start_response)
+            return self._respond_with_error(request, error_answer(error), error, start_response)
+        return self._respond_streamed(request, answer, first_piece, start_response)
 
     def _run(self, request: CallerRequest) -> StreamedAnswer:
-        # Counted from the arrival: with too little processor time a request is read much later.
+        # Counted from the arrival, because on an overloaded CPU a request is read much later.
         deadline = request.phases.arrived_at + request.deadline_seconds
         if request.repeatable:
             return self._run_now(request, deadline)
@@ -114,7 +118,7 @@
             raise NoRoomError("the deadline passed before the request was read", 1.0)
         return self._runner.run(request, deadline)
 
-    def _own_ended(
+    def _respond_with_error(
         self,
         request: CallerRequest,
         answer: OwnAnswer,
@@ -122,17 +126,17 @@
         start_response: StartResponse,
     ) -> Iterable[bytes]:
         request.phases.end()
-        self._ended.note_ended(request, _outcome_of(answer), f"{error.code}: {error.message}")
-        return self._own(answer, start_response)
+        self._ended.note_ended(request, _get_outcome(answer), f"{error.code}: {error.message}")
+        return self._respond_locally(answer, start_response)
 
-    def _own(self, answer: OwnAnswer, start_response: StartResponse) -> Iterable[bytes]:
+    def _respond_locally(self, answer: OwnAnswer, start_response: StartResponse) -> Iterable[bytes]:
         headers = list(answer.headers)
-        self._metrics.increment(f"requests.{_outcome_of(answer)}")
-        self._add_close(headers)
+        self._metrics.increment(f"requests.{_get_outcome(answer)}")
+        self._add_connection_close(headers)
         start_response(answer.status_line, headers)
         return [answer.body]
 
-    def _streamed(
+    def _respond_streamed(
         self,
         request: CallerRequest,
         answer: StreamedAnswer,
@@ -145,24 +149,24 @@
         if answer.length is not None:
             headers.append(("Content-Length", str(answer.length)))
         self._metrics.increment("requests.answered")
-        self._add_close(headers)
+        self._add_connection_close(headers)
         start_response(f"{answer.status} {answer.reason}", headers)
-        return _AnswerBody(first_piece, answer.pieces, lambda: self._end_streamed(request))
+        return _AnswerBody(first_piece, answer.pieces, lambda: self._finish_streamed(request))
 
-    def _end_streamed(self, request: CallerRequest) -> None:
+    def _finish_streamed(self, request: CallerRequest) -> None:
         request.phases.end()
         self._ended.note_ended(request, ANSWERED, "")
 
-    def _add_close(self, headers: list[tuple[str, str]]) -> None:
+    def _add_connection_close(self, headers: list[tuple[str, str]]) -> None:
         if self._is_leaving():
             headers.append(("Connection", "close"))
 
 
 class _AnswerBody(Iterator[bytes]):
-    """A streamed body; the server closes it also when the caller goes away.
+    """A streamed body; the server also closes it when the caller disconnects.
 
-    A body that is cut short resets the caller's connection: an answer that began must not seem to
-    have ended well.
+    A truncated body resets the caller's connection, so that the caller does not take it as
+    complete.
     """
 
     def __init__(
@@ -182,7 +186,7 @@
             raise ConnectionResetError(errno.ECONNRESET, error.message) from error
 
     def close(self) -> None:
-        """End the body, giving back what it holds; called by the server in every case."""
+        """Close the body and release its resources; the server always calls this."""
         try:
             close = getattr(self._pieces, "close", None)
             if close is not None:
@@ -191,15 +195,15 @@
             self._on_end()
 
 
-class _NotKept(msgspec.Struct, frozen=True):
-    """Tells a repeat that the request has run, where the answer was too long to keep."""
+class _NotKeptBody(msgspec.Struct, frozen=True):
+    """Body for a repeat of a request that has run but whose answer was too long to store."""
 
     outcome: str
     code: str
     answer_status: int
 
 
-def _outcome_of(answer: OwnAnswer) -> str:
+def _get_outcome(answer: OwnAnswer) -> str:
     return dict(answer.headers).get(OUTCOME_HEADER, ANSWERED)
 
 
@@ -207,11 +211,11 @@
     if answer.body is not None:
         headers = (*answer.headers, (OUTCOME_HEADER, ANSWERED))
         return json_answer(HTTPStatus(answer.status), answer.body, headers)
-    body = msgspec.json.encode(_NotKept(ANSWERED, _NOT_KEPT, answer.status))
+    body = msgspec.json.encode(_NotKeptBody(ANSWERED, _NOT_KEPT_CODE, answer.status))
     headers = (
         ("Content-Type", "application/json"),
         (OUTCOME_HEADER, ANSWERED),
-        (CODE_HEADER, _NOT_KEPT),
-        (_OWN_STATUS_HEADER, str(answer.status)),
+        (CODE_HEADER, _NOT_KEPT_CODE),
+        (_ANSWER_STATUS_HEADER, str(answer.status)),
     )
     return json_answer(HTTPStatus.CONFLICT, body, headers)
