--- a/packages/kitekeel-callers/src/kitekeel_callers/__init__.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' front end: look-ups, request intake, outcomes."""
+"""The HTTP front end for callers: look-ups, request intake and outcomes."""
--- a/packages/kitekeel-callers/src/kitekeel_callers/answers.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/answers.py
@@ -1,7 +1,7 @@
-"""Answers that are the daemon's own: their status, outcome and code, as one JSON form.
+"""Answers that the daemon generates itself, with status, outcome and code, in one JSON format.
 
-Every one says for the *request*, not only for this attempt, whether it was run: ``not-run`` or
-``unknown``. ``Retry-After`` stands where asking again makes sense.
+Each error answer states for the *request*, not only for this attempt, whether it has run:
+``not-run`` or ``unknown``. ``Retry-After`` is set where a retry makes sense.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The body of an answer of the daemon's own."""
+    """The JSON body of an error answer."""
 
     outcome: str
     code: str
@@ -62,7 +62,7 @@
 
 
 class OwnAnswer(msgspec.Struct, frozen=True):
-    """A whole small answer."""
+    """A complete answer with its body in memory."""
 
     status: HTTPStatus
     headers: tuple[tuple[str, str], ...]
@@ -70,19 +70,20 @@
 
     @property
     def status_line(self) -> str:
-        """Return the status as WSGI wants it."""
+        """Return the status line in the form that WSGI requires."""
         return f"{self.status.value} {self.status.phrase}"
 
 
-def error_answer(error: KitekeelError, keyed: bool = False) -> OwnAnswer:
+def error_answer(error: KitekeelError, home_not_asked: bool = False) -> OwnAnswer:
     """Return the answer for an error.
 
     Args:
-        error: why there is no answer of a back end.
-        keyed: the key's home was not asked, so an earlier attempt may have run.
+        error: the reason why no back end answered.
+        home_not_asked: the request has an idempotency key whose home was not asked, so an earlier
+            attempt may have run.
     """
-    not_run = isinstance(error, NotRunError) and not keyed
-    retry_after = _whole_seconds(error.retry_after_seconds)
+    not_run = isinstance(error, NotRunError) and not home_not_asked
+    retry_after = _round_up_seconds(error.retry_after_seconds)
     body = ErrorBody(NOT_RUN if not_run else UNKNOWN, error.code, error.message, retry_after)
     headers = [
         ("Content-Type", "application/json"),
@@ -91,20 +92,20 @@
     ]
     if retry_after is not None:
         headers.append(("Retry-After", str(retry_after)))
-    return json_answer(_status(error), msgspec.json.encode(body), tuple(headers))
+    return json_answer(_status_for(error), msgspec.json.encode(body), tuple(headers))
 
 
 def json_answer(status: HTTPStatus, body: bytes, headers: tuple[tuple[str, str], ...]) -> OwnAnswer:
-    """Return an answer with its length."""
+    """Return an answer with ``Content-Length`` set."""
     return OwnAnswer(status, (*headers, ("Content-Length", str(len(body)))), body)
 
 
-def _status(error: KitekeelError) -> HTTPStatus:
+def _status_for(error: KitekeelError) -> HTTPStatus:
     for kind, status in _STATUS_BY_ERROR:
         if isinstance(error, kind):
             return status
     return HTTPStatus.SERVICE_UNAVAILABLE
 
 
-def _whole_seconds(seconds: float | None) -> int | None:
+def _round_up_seconds(seconds: float | None) -> int | None:
     return None if seconds is None else max(1, math.ceil(seconds))
--- a/packages/kitekeel-callers/src/kitekeel_callers/front.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/front.py
@@ -1,4 +1,4 @@
-"""The callers' front end: look-up and intake as WSGI applications on CherryPy's server."""
+"""The HTTP front end for callers: WSGI applications on CherryPy's server."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from kitekeel_callers.answers import json_answer
-from kitekeel_callers.arrival import ArrivalGateway
+from kitekeel_callers.arrival import ArrivalTimeGateway
 from kitekeel_callers.caller_request import SERVICE_PREFIX, Environment
 from kitekeel_callers.draining_server import DrainingServer
 from kitekeel_callers.entries import ENTRIES_PATH, EntryLookups
@@ -18,7 +18,7 @@
 
 _SERVER_NAME = "kitekeel"
 _NOT_FOUND_BODY = b'{"outcome":"not-run","code":"not-found","message":"no such path"}'
-_BACKLOG = 512
+_LISTEN_BACKLOG = 512
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
@@ -32,7 +32,7 @@
 
 
 class CallerFront:
-    """Routes paths to the look-up or the intake."""
+    """Routes requests by path to the look-up or the intake application."""
 
     def __init__(self, lookups: EntryLookups, intake: Intake) -> None:
         self._lookups = lookups
@@ -52,12 +52,12 @@
 
 
 class HttpServer:
-    """CherryPy's HTTP server on one address, running on a thread of its own.
+    """CherryPy's HTTP server on one address, run in a dedicated thread.
 
     Args:
         address: ``IP:port``.
         application: a WSGI application.
-        limits: on connections, headers, bodies and threads.
+        limits: limits on connections, headers, bodies and threads.
     """
 
     def __init__(self, address: str, application: object, limits: ServerLimits) -> None:
@@ -69,12 +69,12 @@
             application,
             numthreads=limits.threads,
             server_name=_SERVER_NAME,
-            request_queue_size=_BACKLOG,
+            request_queue_size=_LISTEN_BACKLOG,
             timeout=limits.idle_timeout_seconds,
             accepted_queue_size=limits.queued_connections,
             accepted_queue_timeout=1,
         )
-        self._server.gateway = ArrivalGateway
+        self._server.gateway = ArrivalTimeGateway
         self._server.max_request_header_size = limits.largest_header
         self._server.max_request_body_size = limits.largest_body
         self._server.shutdown_timeout = 1
@@ -83,7 +83,7 @@
         )
 
     def start(self) -> None:
-        """Listen and serve.
+        """Bind the address and serve requests.
 
         Raises:
             OSError: the address cannot be bound.
--- a/packages/kitekeel-callers/src/kitekeel_callers/in_flight.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/in_flight.py
@@ -1,4 +1,4 @@
-"""Counts requests in flight, bodies included, so that a planned stop can wait for them."""
+"""Counts requests in flight until their bodies are sent, so that a planned stop can wait."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class InFlight:
-    """A WSGI application around another one, counting its open requests."""
+    """WSGI middleware that counts the requests in flight."""
 
     def __init__(self, application: Application) -> None:
         self._application = application
@@ -20,7 +20,7 @@
         self._changed = threading.Condition()
 
     def __call__(self, environment: Environment, start_response: StartResponse) -> Iterable[bytes]:
-        """Pass one request on."""
+        """Pass one request to the wrapped application and count it until its body is closed."""
         with self._changed:
             self._count += 1
         try:
@@ -31,11 +31,11 @@
         return _CountedBody(body, self._end)
 
     def count(self) -> int:
-        """Return how many requests are open."""
+        """Return the number of requests in flight."""
         return self._count
 
     def wait_until_none(self, seconds: float) -> bool:
-        """Wait until no request is open; tell whether that came about in time."""
+        """Wait until no request is in flight; return false on a timeout."""
         with self._changed:
             return self._changed.wait_for(lambda: self._count == 0, seconds)
 
@@ -46,7 +46,7 @@
 
 
 class _CountedBody(Iterator[bytes]):
-    """A body whose close, which the server calls in every case, ends the request."""
+    """A response body that ends the request on close, which the server always calls."""
 
     def __init__(self, body: Iterable[bytes], on_end: Callable[[], None]) -> None:
         self._body = body
--- a/packages/kitekeel-callers/src/kitekeel_callers/kept_connection.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/kept_connection.py
@@ -8,25 +8,26 @@
 from cheroot.server import HTTPConnection
 
 
-class KeptConnection(HTTPConnection):
-    """A connection of CherryPy's server; closing it while it is idle serves what has arrived.
+class KeepAliveConnection(HTTPConnection):
+    """A connection of CherryPy's server that serves a pending request before it is closed as idle.
 
-    The server closes a connection that was idle for too long, or at its stop, without looking
-    whether a request has come since it last looked. With that thread held for 0.3 s at this place,
-    3 to 5 of 24 requests were lost, and all that came at the end of a stop; none are with this.
+    At an idle timeout or a stop, the server closes a connection without checking whether a request
+    has arrived since its last poll. With the polling thread delayed by 0.3 s at this point, 3 to 5
+    of 24 requests were lost, as were all that arrived at the end of a stop; with this class, none
+    are lost.
     """
 
     _is_idle = False
 
     def communicate(self) -> bool:
-        """Serve the requests at hand; called by the server's threads."""
+        """Serve the requests that have arrived; called by the server's threads."""
         self._is_idle = False
         is_kept = bool(super().communicate())  # type: ignore[no-untyped-call]
         self._is_idle = is_kept
         return is_kept
 
     def close(self) -> None:
-        """Close the connection, or have it served once more."""
+        """Close the connection, or queue it again if a request is pending on it."""
         if self._is_idle and self.has_request():
             self._is_idle = False
             self.server.process_conn(self)
@@ -34,7 +35,10 @@
         super().close()
 
     def has_request(self) -> bool:
-        """Look without waiting; reading a socket that has a time-out would wait for that long."""
+        """Return whether a request is pending.
+
+        Polls first, because reading a socket with a timeout blocks for up to the timeout.
+        """
         if self.rfile.has_data():
             return True
         watch = select.poll()
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -23,7 +23,7 @@
 from kitekeel_callers.caller_request import Environment
 from kitekeel_callers.front import HttpServer, ServerLimits
 from kitekeel_callers.intake import StartResponse
-from kitekeel_callers.kept_connection import KeptConnection
+from kitekeel_callers.kept_connection import KeepAliveConnection
 
 _IDLE_SECONDS = 1
 _CALLERS = 24
@@ -139,20 +139,20 @@
     watching_ended = threading.Event()
     sent = threading.Event()
     close = ConnectionManager.close
-    communicate = KeptConnection.communicate
+    communicate = KeepAliveConnection.communicate
 
     def close_late(manager: ConnectionManager) -> None:
         watching_ended.set()
         sent.wait(5.0)
         close(manager)
 
-    def return_late(connection: KeptConnection) -> bool:
+    def return_late(connection: KeepAliveConnection) -> bool:
         is_kept = communicate(connection)
         watching_ended.wait(5.0)
         return is_kept
 
     monkeypatch.setattr(ConnectionManager, "close", close_late)
-    monkeypatch.setattr(KeptConnection, "communicate", return_late)
+    monkeypatch.setattr(KeepAliveConnection, "communicate", return_late)
     address = free_address()
     server = HttpServer(address, application, ServerLimits(4))
     server.start()
--- a/tests/test_server_stop.py
+++ b/tests/test_server_stop.py
@@ -12,7 +12,7 @@
 from kitekeel_callers.caller_request import Environment
 from kitekeel_callers.front import HttpServer, ServerLimits
 from kitekeel_callers.intake import StartResponse
-from kitekeel_callers.kept_connection import KeptConnection
+from kitekeel_callers.kept_connection import KeepAliveConnection
 from kitekeel_daemon.daemon import Daemon
 from kitekeel_lab.deployment import DaemonSpec, settings_text
 from kitekeel_steering.settings import parse_settings
@@ -65,11 +65,11 @@
     """
     release = threading.Event()
     held_ports: set[int] = set()
-    communicate = KeptConnection.communicate
+    communicate = KeepAliveConnection.communicate
     close = _ThreadsafeSelector.close
     address = free_address()
 
-    def communicate_and_hold(connection: KeptConnection) -> bool:
+    def communicate_and_hold(connection: KeepAliveConnection) -> bool:
         is_kept = communicate(connection)
         if connection.remote_port in held_ports:
             release.wait(10.0)
@@ -88,7 +88,7 @@
         sent.set()
 
     sent = threading.Event()
-    monkeypatch.setattr(KeptConnection, "communicate", communicate_and_hold)
+    monkeypatch.setattr(KeepAliveConnection, "communicate", communicate_and_hold)
     monkeypatch.setattr(_ThreadsafeSelector, "close", close_and_release)
     server = HttpServer(address, application, ServerLimits(4))
     server.start()
