--- a/packages/kitekeel-callers/src/kitekeel_callers/draining_server.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/draining_server.py
@@ -112,10 +112,10 @@
 
     def _serve_queued(self) -> None:
         """Serve the connections that were still queued when the workers ended."""
-        for get in (self.requests.get, self._overflow.get, self._unservicable_conns.get):
+        for get_connection in (self.requests.get, self._overflow.get, self._unservicable_conns.get):
             while True:
                 try:
-                    conn = get(block=False)
+                    conn = get_connection(block=False)
                 except queue.Empty:
                     break
                 # The queues also hold the library's shutdown markers for its threads.
