--- a/packages/kitekeel-callers/src/kitekeel_callers/idempotency.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/idempotency.py
@@ -1,4 +1,4 @@
-"""At-most-once execution: a request with an idempotency key runs only on its key's home daemon."""
+"""At-most-once execution: a non-repeatable request runs once, at the home of its key."""
 
 from __future__ import annotations
 
@@ -191,7 +191,7 @@
 
 
 class _RecordingPieces(Iterator[bytes]):
-    """Yields an answer's body and stores it for repeats of the request."""
+    """Yields an answer's body and stores it, up to a size limit, for repeats of the request."""
 
     def __init__(self, answer: StreamedAnswer, key: str, table: KeyTable) -> None:
         self._answer = answer
