--- a/packages/kitekeel-backends/src/kitekeel_backends/forwarding.py
+++ b/packages/kitekeel-backends/src/kitekeel_backends/forwarding.py
@@ -1,8 +1,8 @@
 """Sends one request to one back end and streams the answer.
 
-A request that may not be repeated goes out on a connection of its own. So a failed connect is known
-to be not run, and no stale kept connection can swallow it. From the first byte on, a failure
-leaves the outcome unknown, and nothing here sends it again.
+A request that may not be repeated is sent on a new connection. A request whose connect failed is
+then known not to have run, and it cannot be lost on a stale persistent connection. Once the first
+byte is sent, a failure leaves the outcome unknown, and this module does not send the request again.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
     end_to_end_headers,
 )
 
-_PIECE_BYTES = 64 * 1024
-# A back end that works answers a question to give up within a few milliseconds.
-_CANCEL_SECONDS = 0.5
+_CHUNK_BYTES = 64 * 1024
+# A healthy back end answers a cancellation within a few milliseconds.
+_CANCEL_TIMEOUT_SECONDS = 0.5
 _FIRST_ERROR_STATUS = 400
 _EXCHANGE_ERRORS = (urllib3.exceptions.HTTPError, HTTPException, OSError, ValueError)
 
@@ -52,19 +52,19 @@
         repeatable: bool,
         deadline: float,
     ) -> StreamedAnswer:
-        """Send a request and return the answer once its headers are in.
+        """Send a request and return the answer once its headers have arrived.
 
         Args:
             address: the back end's ``IP:port``.
-            connections: most connections that are kept to it.
+            connections: maximum number of idle connections kept to it.
             request: what to send.
             repeatable: whether a kept connection may be used.
-            deadline: monotonic time by which the whole answer must be in.
+            deadline: monotonic time by which the whole answer must have arrived.
 
         Raises:
-            ConnectFailedError: no connection; not run.
-            NoRoomError: the deadline has passed already; not run.
-            ConnectionBrokenError: broken after a byte may have left.
+            ConnectFailedError: the connection failed; the request was not run.
+            NoRoomError: the deadline had already passed; the request was not run.
+            ConnectionBrokenError: the connection broke after a byte may have been sent.
             DeadlinePassedError: no answer by the deadline.
         """
         if steady_seconds() >= deadline:
@@ -76,12 +76,12 @@
         response = _exchange(connection, request, deadline)
         most_kept = connections if may_keep else 0
         on_complete = partial(self._kept.give_back, address, connection, most_kept)
-        pieces = _AnswerPieces(response, connection, deadline, on_complete)
+        pieces = _AnswerBody(response, connection, deadline, on_complete)
         return _answer(response, pieces)
 
     def cancel(self, address: str, request_id: str) -> bool:
-        """Ask a back end to give a request up; tell whether it has."""
-        deadline = steady_seconds() + _CANCEL_SECONDS
+        """Ask a back end to cancel a request; return whether it did."""
+        deadline = steady_seconds() + _CANCEL_TIMEOUT_SECONDS
         connection = DeadlineConnection(address, deadline)
         try:
             connection.request("DELETE", f"/-/requests/{request_id}")
@@ -106,7 +106,7 @@
 def _exchange(
     connection: DeadlineConnection, request: ForwardedRequest, deadline: float
 ) -> urllib3.BaseHTTPResponse:
-    """Send a request on an open connection and return the response once its head is in."""
+    """Send a request on an open connection and return the response once its head has arrived."""
     remaining = max(0.0, deadline - steady_seconds())
     connection.exchanges += 1
     try:
@@ -123,7 +123,7 @@
         return connection.getresponse()
     except _EXCHANGE_ERRORS as error:
         connection.close()
-        raise _sent_failure(error, deadline, connection) from error
+        raise _exchange_failure(error, deadline, connection) from error
 
 
 def _headers(request: ForwardedRequest, remaining: float) -> dict[str, str]:
@@ -146,7 +146,7 @@
     assert request.body is not None
     left = request.body_length
     while left is None or left > 0:
-        size = _PIECE_BYTES if left is None else min(_PIECE_BYTES, left)
+        size = _CHUNK_BYTES if left is None else min(_CHUNK_BYTES, left)
         piece = request.body.read(size)
         if not piece:
             break
@@ -154,11 +154,11 @@
             left -= len(piece)
         yield piece
     if left:
-        # The caller went away in the middle; the back end must not take a part for the whole.
+        # The caller disconnected; the back end must not take the truncated body for a complete one.
         raise ConnectionResetError("the caller's body was cut short")
 
 
-def _sent_failure(
+def _exchange_failure(
     error: Exception, deadline: float, connection: DeadlineConnection
 ) -> ConnectionBrokenError | DeadlinePassedError:
     timed_out = isinstance(error, TimeoutError | urllib3.exceptions.TimeoutError)
@@ -179,11 +179,11 @@
     )
 
 
-class _AnswerPieces(Iterator[bytes]):
-    """The body of one answer, and the end of its connection.
+class _AnswerBody(Iterator[bytes]):
+    """Iterates over the body of one answer, then releases or closes its connection.
 
     Args:
-        on_complete: called once the body was read to its end.
+        on_complete: called once the body has been read to its end.
     """
 
     def __init__(
@@ -203,10 +203,10 @@
         if self._ended:
             raise StopIteration
         try:
-            piece = self._response.read1(_PIECE_BYTES, decode_content=False)
+            piece = self._response.read1(_CHUNK_BYTES, decode_content=False)
         except _EXCHANGE_ERRORS as error:
             self.close()
-            raise _sent_failure(error, self._deadline, self._connection) from error
+            raise _exchange_failure(error, self._deadline, self._connection) from error
         if piece:
             return piece
         self._ended = True
@@ -214,7 +214,7 @@
         raise StopIteration
 
     def close(self) -> None:
-        """End early: bytes of this answer may still come, so its connection serves nobody else."""
+        """Stop early and close the connection, since more bytes of this answer may arrive on it."""
         if self._ended:
             return
         self._ended = True
--- a/packages/kitekeel-platform/src/kitekeel_platform/client.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/client.py
@@ -2,8 +2,9 @@
 
 The protocol (docs/PLATFORM.md): ``GET /v1/values/KEY`` answers the value with its version in the
 ``Version`` header; with ``after=N&wait=S`` it waits for a later version. ``PUT
-/v1/values/KEY?version=N`` writes if the version is still N, 0 meaning that there is none; ``ttl=S``
-makes it a lease. ``GET /v1/machines`` answers the live and leaving machines.
+/v1/values/KEY?version=N`` writes if the version is still N, where 0 means that the key does not
+exist; ``ttl=S`` makes the value expire after S seconds. ``GET /v1/machines`` answers the live and
+leaving machines.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 Document = TypeVar("Document")
 
-_CONNECTIONS = 8
+_MAX_CONNECTIONS = 8
 _WATCH_MARGIN_SECONDS = 2.0
 _OK = 200
 _NOT_MODIFIED = 304
@@ -37,19 +38,19 @@
 
 
 class VersionedValue(msgspec.Struct, frozen=True):
-    """A value and its version, which grows by one with each write; version 0 is no value."""
+    """A value and its version, which each write increments; version 0 means no value."""
 
     version: int
     value: bytes
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """An entry of the machine list, which lags behind the truth.
+    """An entry of the machine list, which may be out of date.
 
     Attributes:
         role: ``daemon`` or ``backend``.
-        address: where it serves, ``IP:port``; a daemon's is its peer address.
-        leaving: it will go away soon.
+        address: ``IP:port`` at which it serves; for a daemon, its peer address.
+        leaving: whether it is about to shut down.
     """
 
     role: str
@@ -58,19 +59,19 @@
 
 
 class MachineList(msgspec.Struct, frozen=True):
-    """The platform's answer about machines."""
+    """The platform's list of machines."""
 
     machines: tuple[Machine, ...] = ()
 
 
 class PlatformClient:
-    """Talks to the platform's service.
+    """HTTP client of the platform's service.
 
     Args:
         address: ``IP:port``.
         budget: this daemon's share of the platform's call rate.
         metrics: counts calls and failures.
-        timeout_seconds: of one call, apart from a watch's wait.
+        timeout_seconds: time-out of one call, not counting the wait of a watch.
     """
 
     def __init__(
@@ -80,22 +81,22 @@
         self._budget = budget
         self._metrics = metrics
         self._timeout_seconds = timeout_seconds
-        self._http = urllib3.PoolManager(maxsize=_CONNECTIONS, retries=False)
+        self._http = urllib3.PoolManager(maxsize=_MAX_CONNECTIONS, retries=False)
 
     def read(self, key: str) -> VersionedValue:
-        """Return a value; version 0 where there is none.
+        """Return a value; its version is 0 if the key does not exist.
 
         Raises:
-            PlatformUnavailableError: no answer, or none that tells the value.
+            PlatformUnavailableError: no answer, or an error answer.
             PlatformBudgetError: the budget is used up.
         """
         response = self._read(f"/values/{quote(key)}", self._timeout_seconds)
         if response.status == _NOT_FOUND:
             return VersionedValue(0, b"")
-        return _versioned(response)
+        return _parse_value(response)
 
     def watch(self, key: str, after: int, wait_seconds: float) -> VersionedValue | None:
-        """Wait for a version later than the given one; ``None`` where there was none in time.
+        """Wait for a version later than the given one; ``None`` if there was none in time.
 
         Raises:
             PlatformUnavailableError: no answer.
@@ -107,7 +108,7 @@
         response = self._read(f"/values/{quote(key)}?{query}", timeout)
         if response.status in (_NOT_MODIFIED, _NOT_FOUND):
             return None
-        return _versioned(response)
+        return _parse_value(response)
 
     def write(
         self, key: str, value: bytes, expected_version: int, lease_seconds: float | None = None
@@ -115,18 +116,18 @@
         """Write a value if its version is still the expected one.
 
         Returns:
-            The new version, or ``None`` where another write came first.
+            The new version, or ``None`` if another write came first.
 
         Raises:
-            PlatformUnavailableError: the write was certainly not made.
+            PlatformUnavailableError: the write was certainly not applied.
             PlatformBudgetError: the budget is used up; nothing was sent.
-            WriteOutcomeUnknownError: the write may have been made.
+            WriteOutcomeUnknownError: the write may have been applied.
         """
         query: dict[str, str] = {"version": str(expected_version)}
         if lease_seconds is not None:
             query["ttl"] = str(lease_seconds)
         url = f"{self._base}/values/{quote(key)}?{urlencode(query)}"
-        self._take_from_budget()
+        self._spend_budget()
         try:
             response = self._http.request("PUT", url, body=value, timeout=self._timeout_seconds)
         except (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError) as e:
@@ -141,7 +142,7 @@
             raise PlatformUnavailableError("the platform limits our rate", _retry_after(response))
         if response.status >= _FIRST_SERVER_ERROR:
             raise WriteOutcomeUnknownError(f"the platform answered {response.status} to a write")
-        version = _version(response)
+        version = _parse_version(response)
         if version is None:
             raise WriteOutcomeUnknownError("the platform answered a write without a version")
         return version
@@ -158,7 +159,7 @@
         return read_document(response.data, MachineList)
 
     def _read(self, path: str, timeout_seconds: float) -> urllib3.BaseHTTPResponse:
-        self._take_from_budget()
+        self._spend_budget()
         try:
             response = self._http.request("GET", self._base + path, timeout=timeout_seconds)
         except (urllib3.exceptions.HTTPError, OSError) as error:
@@ -170,7 +171,7 @@
             raise PlatformUnavailableError(message, _retry_after(response))
         return response
 
-    def _take_from_budget(self) -> None:
+    def _spend_budget(self) -> None:
         if not self._budget.try_take():
             self._metrics.increment("platform.over_budget")
             raise PlatformBudgetError("the budget of platform calls is used up", 1.0)
@@ -178,10 +179,10 @@
 
 
 def read_document(document: bytes, document_type: type[Document]) -> Document:
-    """Return a JSON document of the platform.
+    """Decode a JSON document of the platform.
 
     Raises:
-        PlatformAnswerError: it does not have the form of its type.
+        PlatformAnswerError: the document does not match the type.
     """
     try:
         return msgspec.json.decode(document, type=document_type)
@@ -190,14 +191,14 @@
         raise PlatformAnswerError(text) from error
 
 
-def _versioned(response: urllib3.BaseHTTPResponse) -> VersionedValue:
-    version = _version(response)
+def _parse_value(response: urllib3.BaseHTTPResponse) -> VersionedValue:
+    version = _parse_version(response)
     if version is None:
         raise PlatformAnswerError("the platform answered a read without a version")
     return VersionedValue(version, response.data)
 
 
-def _version(response: urllib3.BaseHTTPResponse) -> int | None:
+def _parse_version(response: urllib3.BaseHTTPResponse) -> int | None:
     stated = response.headers.get("Version", "")
     return int(stated) if stated.isdecimal() else None
 
