--- a/packages/kitekeel-backends/src/kitekeel_backends/deadline_connection.py
+++ b/packages/kitekeel-backends/src/kitekeel_backends/deadline_connection.py
@@ -1,7 +1,8 @@
-"""An HTTP connection whose every wait ends at one deadline, and the ones kept for later requests.
+"""HTTP connections with one overall deadline, and a pool of idle ones for later requests.
 
-The library's time-outs hold for each read anew: a back end whose head came byte by byte kept a
-caller for 8.5 s where 0.8 s was given, and one whose body did for 3.3 s where 1.0 s was.
+The library's time-outs apply to each read separately: a back end that sent its head byte by byte
+delayed a caller for 8.5 s although 0.8 s was allowed, and one that sent its body that way for 3.3 s
+instead of 1.0 s.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 
 from kitekeel_steering.clock import steady_seconds
 
-# Of a connection within the users' networks, some 60 ms one way, with one lost packet.
-_LONGEST_CONNECT_SECONDS = 1.0
-# At the deadline, what the kernel already has is still read; nothing more is waited for.
-_NO_WAIT_SECONDS = 0.001
-# Servers commonly close connections that rest for 10 s; one that rests longer than this may be
-# closed in the moment in which a request is written to it.
-_LONGEST_REST_SECONDS = 6.0
+# Allows for one lost packet within the users' networks, which take some 60 ms one way.
+_MAX_CONNECT_SECONDS = 1.0
+# At the deadline, data already in the kernel's buffer is still read, without waiting for more.
+_MIN_SOCKET_TIMEOUT_SECONDS = 0.001
+# Servers commonly close connections that are idle for 10 s; one that is idle for longer than this
+# may be closed at the moment a request is written to it.
+_MAX_IDLE_SECONDS = 6.0
 
 
 class DeadlineSocket(socket.socket):
-    """A socket whose reads and writes end at a deadline, however many they are.
+    """A socket with one deadline for all reads and writes together.
 
     Attributes:
         deadline: monotonic time.
@@ -33,15 +34,15 @@
     deadline = float("inf")
 
     def recv_into(self, *arguments: object, **options: object) -> int:
-        """Read what is there, waiting for it until the deadline."""
-        self.settimeout(max(_NO_WAIT_SECONDS, self.deadline - steady_seconds()))
+        """Read the available data, waiting for some until the deadline."""
+        self.settimeout(max(_MIN_SOCKET_TIMEOUT_SECONDS, self.deadline - steady_seconds()))
         return super().recv_into(*arguments, **options)  # type: ignore[arg-type]
 
     def sendall(self, *arguments: object, **options: object) -> None:
-        """Write everything until the deadline.
+        """Write all data before the deadline.
 
         Raises:
-            TimeoutError: it has passed; where it had passed before, nothing was written.
+            TimeoutError: the deadline passed; nothing was written if it had passed before the call.
         """
         remaining = self.deadline - steady_seconds()
         if remaining <= 0:
@@ -51,15 +52,15 @@
 
 
 class DeadlineConnection(HTTPConnection):
-    """A connection to one address; ``set_deadline`` comes before each exchange.
+    """A connection to one address; call ``set_deadline`` before each further exchange.
 
     Args:
         address: ``IP:port``.
         deadline: monotonic time of the first exchange.
 
     Attributes:
-        exchanges: requests that were sent on it; more than one on a kept connection.
-        rests_since: monotonic time since which it has waited for a request.
+        exchanges: number of requests sent on it; more than one if it was reused.
+        idle_since: monotonic time at which it became idle.
     """
 
     def __init__(self, address: str, deadline: float) -> None:
@@ -67,58 +68,59 @@
         super().__init__(host.strip("[]"), int(port))
         self._deadline = deadline
         self.exchanges = 0
-        self.rests_since = steady_seconds()
+        self.idle_since = steady_seconds()
 
     def connect(self) -> None:
-        """Connect within the deadline, and within a second.
+        """Connect before the deadline and within one second.
 
         Raises:
-            urllib3.exceptions.HTTPError, OSError: no connection.
+            urllib3.exceptions.HTTPError, OSError: the connection could not be opened.
         """
         self.timeout = min(
-            _LONGEST_CONNECT_SECONDS, max(_NO_WAIT_SECONDS, self._deadline - steady_seconds())
+            _MAX_CONNECT_SECONDS,
+            max(_MIN_SOCKET_TIMEOUT_SECONDS, self._deadline - steady_seconds()),
         )
         super().connect()
-        # The library sets its own time-out on the socket; the deadline takes its place there.
+        # The library sets its own time-out on the socket; the deadline replaces it.
         self.timeout = None
         self.sock = DeadlineSocket(fileno=self.sock.detach())
         self.sock.deadline = self._deadline
 
     def set_deadline(self, deadline: float) -> None:
-        """Have all waits from now on end at a deadline, in monotonic time."""
+        """Set the monotonic time at which all further waits end."""
         self._deadline = deadline
         if isinstance(self.sock, DeadlineSocket):
             self.sock.deadline = deadline
 
 
-class KeptConnections:
-    """Connections that rest until the next request to their address; safe for many threads."""
+class IdleConnections:
+    """Thread-safe pool of idle connections by address."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._resting: dict[str, list[DeadlineConnection]] = defaultdict(list)
+        self._idle: dict[str, list[DeadlineConnection]] = defaultdict(list)
 
     def take(self, address: str, deadline: float) -> DeadlineConnection | None:
-        """Return the connection that has rested least, if one is still good."""
+        """Return the most recently used idle connection that is still usable, or ``None``."""
         while True:
             with self._lock:
-                resting = self._resting[address]
-                connection = resting.pop() if resting else None
+                idle = self._idle[address]
+                connection = idle.pop() if idle else None
             if connection is None:
                 return None
-            rested = steady_seconds() - connection.rests_since
-            if rested <= _LONGEST_REST_SECONDS and connection.is_connected:
+            idle_seconds = steady_seconds() - connection.idle_since
+            if idle_seconds <= _MAX_IDLE_SECONDS and connection.is_connected:
                 connection.set_deadline(deadline)
                 return connection
             connection.close()
 
-    def give_back(self, address: str, connection: DeadlineConnection, most: int) -> None:
-        """Keep a connection whose answer was read to its end, up to so many for an address."""
-        connection.rests_since = steady_seconds()
+    def release(self, address: str, connection: DeadlineConnection, max_idle: int) -> None:
+        """Keep a connection whose answer was read to its end, up to ``max_idle`` for an address."""
+        connection.idle_since = steady_seconds()
         with self._lock:
-            resting = self._resting[address]
-            is_kept = connection.sock is not None and len(resting) < most
+            idle = self._idle[address]
+            is_kept = connection.sock is not None and len(idle) < max_idle
             if is_kept:
-                resting.append(connection)
+                idle.append(connection)
         if not is_kept:
             connection.close()
--- a/packages/kitekeel-backends/src/kitekeel_backends/forwarding.py
+++ b/packages/kitekeel-backends/src/kitekeel_backends/forwarding.py
@@ -13,7 +13,7 @@
 
 import urllib3
 
-from kitekeel_backends.deadline_connection import DeadlineConnection, KeptConnections
+from kitekeel_backends.deadline_connection import DeadlineConnection, IdleConnections
 from kitekeel_steering.clock import steady_seconds
 from kitekeel_steering.errors import (
     ConnectFailedError,
@@ -42,7 +42,7 @@
     """Sends requests to back ends; safe to call from many threads."""
 
     def __init__(self) -> None:
-        self._kept = KeptConnections()
+        self._idle_connections = IdleConnections()
 
     def send(
         self,
@@ -70,12 +70,12 @@
         if steady_seconds() >= deadline:
             raise NoRoomError("the deadline passed before the request was sent", 1.0)
         may_keep = repeatable and request.body is None
-        connection = self._kept.take(address, deadline) if may_keep else None
+        connection = self._idle_connections.take(address, deadline) if may_keep else None
         if connection is None:
             connection = _connect(address, deadline)
         response = _exchange(connection, request, deadline)
-        most_kept = connections if may_keep else 0
-        on_complete = partial(self._kept.give_back, address, connection, most_kept)
+        max_idle = connections if may_keep else 0
+        on_complete = partial(self._idle_connections.release, address, connection, max_idle)
         pieces = _AnswerBody(response, connection, deadline, on_complete)
         return _answer(response, pieces)
 
--- a/packages/kitekeel-platform/src/kitekeel_platform/configuration_store.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/configuration_store.py
@@ -1,10 +1,11 @@
-"""Keeps the operators' configuration at the platform: one document, changed by compare-and-swap.
-
-Why a change cannot be lost or doubled: its command id is stored in the document with the revision
-it made. The document's revision is the version that the platform gives the value, so a write made
-for revision N+1 can only take effect while the value is at N. When a write's answer is lost, the
-value is read back: with the id in it, the write happened; at a later revision without it, the write
-did not happen and cannot any more; still at N, the same write is made again.
+"""Stores the operators' configuration at the platform as one document, using compare-and-swap.
+
+A change cannot be lost or applied twice, because its command id is stored in the document with the
+revision it created. The document's revision is the version that the platform assigns to the value,
+so a write of revision N+1 can only take effect while the value is at N. If the answer to a write is
+lost, the value is read back. If it contains the id, the write took effect. If it is at a later
+revision without the id, the write did not and can no longer take effect. If it is still at N, the
+same write is repeated.
 """
 
 from __future__ import annotations
@@ -30,8 +31,8 @@
     encode_configuration,
 )
 
-_FIRST_PAUSE_SECONDS = 0.05
-_LONGEST_PAUSE_SECONDS = 0.5
+_INITIAL_BACKOFF_SECONDS = 0.05
+_MAX_BACKOFF_SECONDS = 0.5
 
 Change = Callable[[Configuration], Configuration]
 
@@ -43,10 +44,10 @@
         self._client = client
 
     def load(self) -> Configuration:
-        """Return the configuration kept at the platform; revision 0 where there is none.
+        """Return the stored configuration; its revision is 0 if there is none.
 
         Raises:
-            PlatformError: it cannot be read now.
+            PlatformError: it cannot be read at present.
         """
         return _decode(self._client.read(CONFIGURATION_KEY))
 
@@ -65,21 +66,21 @@
         """Apply one command to the document.
 
         Args:
-            command_id: repeats under the same id take effect once.
-            text: the command as given, for the record.
+            command_id: a command repeated with the same id takes effect only once.
+            text: the command as entered, stored in its record.
             change: returns the changed document, or raises ``ConfigurationError``.
-            deadline_seconds: how long to go on trying.
+            deadline_seconds: how long to keep trying.
 
         Returns:
-            The document with the command in it.
+            The document that contains the command.
 
         Raises:
             ConfigurationConflictError: another command came first; nothing was written.
-            ConfigurationOutcomeUnknownError: the deadline passed with a write's answer lost.
+            ConfigurationOutcomeUnknownError: the deadline passed and a write may have succeeded.
             PlatformError: the deadline passed, and nothing was written.
         """
         deadline = steady_seconds() + deadline_seconds
-        pause = _FIRST_PAUSE_SECONDS
+        pause = _INITIAL_BACKOFF_SECONDS
         may_be_written = False
         base: Configuration | None = None
         while True:
@@ -105,7 +106,7 @@
                     1.0,
                 )
             time.sleep(pause)
-            pause = min(_LONGEST_PAUSE_SECONDS, pause * 2)
+            pause = min(_MAX_BACKOFF_SECONDS, pause * 2)
 
     def _write(
         self, base: Configuration, command_id: str, text: str, change: Change
--- a/packages/kitekeel-platform/src/kitekeel_platform/crash_record_sync.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/crash_record_sync.py
@@ -1,9 +1,10 @@
-"""Keeps the records of requests that end back ends in the platform's store, for daemons that start.
+"""Persists the records of requests that crash back ends in the platform's store.
 
-The daemons tell each other (``kitekeel_peers.crash_exchange``); the store is for the time after all
-of them were lost together. A record is written over the revision that was read, merged with it.
-So two daemons that write at once, or a write that is done late, lose nothing: the one that comes
-second is refused, reads what the other wrote, and merges again.
+Running daemons exchange the records directly (``kitekeel_peers.crash_exchange``); the store is
+needed by daemons that start after all of them were lost at once. A write merges the record with the
+stored one and succeeds only if the stored revision is still the one that was read. Concurrent or
+delayed writes therefore lose nothing: the later one is rejected, reads the other's record, and
+merges again.
 """
 
 from __future__ import annotations
@@ -22,29 +23,31 @@
 from kitekeel_steering.crash_records import CrashRecord
 from kitekeel_steering.errors import PlatformError
 
-_NAME = "store/crash-records"
+_DEPENDENCY_NAME = "store/crash-records"
 _SOURCE = "store"
 _RETRY_SECONDS = 1.0
-# Makes up for a daemon that was lost before it had written, and drops what is too old.
+# The periodic review writes what a failed daemon could not write, and removes expired records.
 _REVIEW_SECONDS = 20.0
-# The daemon that found the last end writes at once; by then the others find it written.
-_LEAST_WAIT_FOR_OTHERS_SECONDS = 1.0
-_MOST_WAIT_FOR_OTHERS_SECONDS = 3.0
-_MOST_WRITES_OF_ONE_REVIEW = 50
-# Ends often come in series; one review writes several.
-_LEAST_PAUSE_SECONDS = 0.5
+# The daemon that detected the latest crash writes at once. The others wait this long, so that they
+# normally find it written.
+_MIN_WAIT_FOR_OTHERS_SECONDS = 1.0
+_MAX_WAIT_FOR_OTHERS_SECONDS = 3.0
+_MAX_WRITES_PER_REVIEW = 50
+# Crashes often come in bursts; one review writes several records.
+_MIN_PAUSE_SECONDS = 0.5
 
 DependencyListener = Callable[[str, bool, str], None]
 
 
 class CrashRecordSync:
-    """The task that keeps the store and one daemon's ledger in step.
+    """The task that synchronises the store with one daemon's crash ledger.
 
     Args:
-        writes_for_others: tells whether this daemon is to write also what others have found.
-        on_dependency: told when the store begins to fail, why, and when it answers again.
-        on_finding: told of each document that cannot be read.
-        on_failed_claim: told why a claim was not written.
+        writes_for_others: returns whether this daemon also writes what other daemons have found.
+        on_dependency: called when the store begins to fail, with the reason, and when it answers
+            again.
+        on_finding: called with each document that cannot be read.
+        on_failed_claim: called with the reason why a claim was not written.
     """
 
     def __init__(
@@ -67,69 +70,78 @@
         self._is_failing = False
         self._stored: frozenset[str] = frozenset()
         self._unreadable: frozenset[str] = frozenset()
-        self._wanted = asyncio.Event()
+        self._write_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Read once, then write what is quarantined here, until cancelled."""
+        """Read the records once, then write this daemon's quarantined ones, until cancelled."""
         while True:
             try:
                 await self._review()
             except RecordChangedError:
-                # Another daemon wrote meanwhile; its record is merged next.
+                # Another daemon wrote in between; the next review merges its record.
                 await asyncio.sleep(self._random.uniform(0.0, _RETRY_SECONDS))
                 continue
             except PlatformError as error:
-                self._note(error.message)
+                self._report_state(error.message)
                 await asyncio.sleep(_RETRY_SECONDS)
                 continue
-            self._note("")
+            self._report_state("")
             await self._wait()
 
     def note_found(self, change: LedgerChange) -> None:
-        """Note what this daemon or its operator has found."""
-        if self._must_last(change):
-            self._wanted.set()
+        """Schedule a write after a change made by this daemon or its operator."""
+        if self._must_persist(change):
+            self._write_requested.set()
 
     def note_heard(self, change: LedgerChange) -> None:
-        """Note what another daemon told, which writes it itself if it must last."""
-        if self._must_last(change) and self._writes_for_others():
+        """Schedule a delayed write after a change reported by another daemon.
+
+        That daemon normally writes the change itself.
+        """
+        if self._must_persist(change) and self._writes_for_others():
             seconds = self._random.uniform(
-                _LEAST_WAIT_FOR_OTHERS_SECONDS, _MOST_WAIT_FOR_OTHERS_SECONDS
+                _MIN_WAIT_FOR_OTHERS_SECONDS, _MAX_WAIT_FOR_OTHERS_SECONDS
             )
-            asyncio.get_running_loop().call_later(seconds, self._wanted.set)
+            asyncio.get_running_loop().call_later(seconds, self._write_requested.set)
 
-    def _must_last(self, change: LedgerChange) -> bool:
-        """Tell whether the store is concerned; of mere suspects it knows nothing."""
+    def _must_persist(self, change: LedgerChange) -> bool:
+        """Return whether the change belongs in the store, which holds no mere suspects."""
         return change.is_quarantined or change.record.identity in self._stored
 
     async def _wait(self) -> None:
-        """Wait until there is something to write, or for the next review of what is stored."""
-        await asyncio.sleep(_LEAST_PAUSE_SECONDS)
+        """Wait until a write is requested or the next review of the stored records is due."""
+        await asyncio.sleep(_MIN_PAUSE_SECONDS)
         must_review = bool(self._stored) and self._writes_for_others()
         try:
-            await asyncio.wait_for(self._wanted.wait(), _REVIEW_SECONDS if must_review else None)
+            await asyncio.wait_for(
+                self._write_requested.wait(), _REVIEW_SECONDS if must_review else None
+            )
         except TimeoutError:
             pass
-        self._wanted.clear()
+        self._write_requested.clear()
 
     async def _review(self) -> None:
         stored = await self._read()
-        changes = [each for each in self._wanted_records(stored) if self._is_news(each, stored)]
-        for record in changes[:_MOST_WRITES_OF_ONE_REVIEW]:
+        changes = [
+            each
+            for each in self._records_to_store(stored)
+            if self._differs_from_stored(each, stored)
+        ]
+        for record in changes[:_MAX_WRITES_PER_REVIEW]:
             former = stored.get(record.identity)
             revision = former.revision if former is not None else 0
             await self._store.write_crash_record(StoredCrashRecord(record, revision))
         for each in stored.values():
             if self._ledger.is_old(each.record):
                 await self._store.remove_crash_record(each)
-        if len(changes) > _MOST_WRITES_OF_ONE_REVIEW:
-            self._wanted.set()
+        if len(changes) > _MAX_WRITES_PER_REVIEW:
+            self._write_requested.set()
 
     async def claim_try(self, identity: str, reason: str) -> bool:
-        """Claim a careful try, which all daemons together have once for a reason.
+        """Claim a guarded retry, of which there is one per reason across all daemons.
 
-        Where the store does not answer, or another daemon was first, there is none here. A claim
-        that was written without an answer is used by nobody.
+        Returns false if the store does not answer or another daemon claimed it first. If the answer
+        to a claim's write is lost, no daemon uses that claim.
         """
         try:
             stored = await self._read()
@@ -157,22 +169,24 @@
         self._ledger.merge((each.record for each in found.records), _SOURCE)
         return {each.record.identity: each for each in found.records}
 
-    def _wanted_records(self, stored: dict[str, StoredCrashRecord]) -> list[CrashRecord]:
-        """Return what the store is to have: what is quarantined, and what became of the rest.
+    def _records_to_store(self, stored: dict[str, StoredCrashRecord]) -> list[CrashRecord]:
+        """Return the records the store should hold: quarantined ones, and updates of stored ones.
 
-        Records that cannot be read are another version's, and are left alone.
+        Unreadable records were written by another software version and are left unchanged.
         """
         quarantined = {each.identity for each in self._ledger.quarantined()}
         wanted = {*quarantined, *stored} - self._unreadable
         found = (self._ledger.find(each) for each in sorted(wanted))
         return [each for each in found if each is not None]
 
-    def _is_news(self, record: CrashRecord, stored: dict[str, StoredCrashRecord]) -> bool:
+    def _differs_from_stored(
+        self, record: CrashRecord, stored: dict[str, StoredCrashRecord]
+    ) -> bool:
         former = stored.get(record.identity)
         return former is None or former.record != record
 
-    def _note(self, failure: str) -> None:
+    def _report_state(self, failure: str) -> None:
         is_failing = bool(failure)
         if is_failing != self._is_failing:
             self._is_failing = is_failing
-            self._on_dependency(_NAME, not is_failing, failure)
+            self._on_dependency(_DEPENDENCY_NAME, not is_failing, failure)
--- a/packages/kitekeel-platform/src/kitekeel_platform/watch_duty.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/watch_duty.py
@@ -1,8 +1,8 @@
-"""Decides whether a daemon watches the platform's store itself or relies on others' news.
+"""Decides whether a daemon watches the platform's store itself or relies on other daemons' news.
 
-A daemon that others tell of changes asks the store for nothing. It turns to the store as soon as it
-can no longer show that its news is fresh: nobody tells it anything, or those who do have lost the
-store themselves.
+A daemon that receives changes from others does not call the store. It starts to as soon as its news
+is no longer known to be fresh: no daemon reports to it, or those that do have lost the store
+themselves.
 """
 
 from __future__ import annotations
@@ -11,52 +11,53 @@
 
 from kitekeel_steering.clock import Clock
 
-# News this old no longer counts as fresh. A watcher's own proof, its probe of the store, is up to
-# 1.2 s old, and the way here takes some hundredths of a second, more while a daemon is busy.
+# News older than this does not count as fresh. A watcher's last probe of the store is up to 1.2 s
+# old, and delivery takes some hundredths of a second, more while a daemon is busy.
 FRESH_SECONDS = 1.6
-# Nobody has shown fresh news for so long: the watchers are asked every second in turn, 1.2 s at
-# most, and one did not answer within 0.6 s. With the store's answer the first unheard change is
-# known 2.3 s after it at most; the shortest bound on back ends that leave is 2.5 s.
+# Time without fresh news after which the daemon watches the store itself: the watchers are asked in
+# turn every second (1.2 s at most), and one did not answer within 0.6 s. Including the store's
+# answer, the first missed change is known at most 2.3 s after it; the shortest bound on the removal
+# of back ends is 2.5 s.
 _SILENCE_SECONDS = 1.8
-# The watchers answer, but what they know was current so long ago: they have lost the store. Most
-# outages are everybody's, and a store that all daemons ask at once gains nothing by it; the
-# watchers, who ask every 0.3 s, notice its return.
+# If the watchers answer but their state was last current this long ago, they have lost the store.
+# Most outages affect all daemons, and it does not help if all of them call the store at once; the
+# watchers, which probe it every 0.3 s, notice its return.
 _WATCHERS_LOST_STORE_SECONDS = 4.0
-# Daemons that lose their watchers together turn to the store one after another.
+# Spreads the calls of daemons that lose their watchers at the same time.
 _JITTER_SECONDS = 0.4
-# A daemon that starts, and knows no other daemon yet, leaves them this much time to answer before
-# it takes itself for the only one. Joining through a seed of another region takes 0.2 s.
+# A starting daemon that knows no other daemon yet waits this long for answers before it assumes
+# that it is the only one. Joining through a seed in another region takes 0.2 s.
 _START_SECONDS = 0.25
-# Where all daemons start together and no callers wait yet, each first lets the others find it, so
-# that just the watchers read the store.
-# Machines start within 0.3 s of one another, and a daemon has joined the others within a second.
+# If all daemons start together, before there are callers, each first waits to be found by the
+# others, so that only the watchers read the store. Machines start within 0.3 s of one
+# another, and a daemon has joined the others within a second.
 _ALL_START_SECONDS = 1.5
 
 
 class WatchDuty:
-    """The decision of one daemon.
+    """Decides for one daemon whether it must watch the store.
 
     Args:
-        generator: spreads daemons that doubt their news together.
-        all_start: whether all daemons start together, before any callers come.
+        generator: source of the jitter that spreads the daemons' calls.
+        all_start: whether all daemons start together, before there are callers.
     """
 
     def __init__(self, clock: Clock, generator: random.Random, all_start: bool = False) -> None:
         self._all_start = all_start
         self._clock = clock
         self._started_at = clock.monotonic()
-        # Nobody can have had news before; the others get their time from then on.
+        # No news can have arrived before the start; the time allowed to the others begins here.
         self._fresh_at = self._started_at + (_ALL_START_SECONDS if all_start else 0.0)
         self._current_at = self._fresh_at
         self._answered_at = float("-inf")
         self._jitter_seconds = generator.uniform(0.0, _JITTER_SECONDS)
 
     def note_news(self, age_seconds: float | None) -> None:
-        """Note that another daemon told its news.
+        """Record that another daemon reported its news.
 
         Args:
-            age_seconds: how long ago that daemon's beliefs were known to be current; ``None`` where
-                it does not yet know enough.
+            age_seconds: how long ago that daemon's view was known to be current; ``None`` if its
+                view is not complete yet.
         """
         now = self._clock.monotonic()
         self._answered_at = now
@@ -67,17 +68,17 @@
             self._fresh_at = now
 
     def has_fresh_news(self) -> bool:
-        """Tell whether others have shown lately that they know what the store holds."""
+        """Return whether other daemons recently showed that they know the store's state."""
         now = self._clock.monotonic()
         if now - self._answered_at < _SILENCE_SECONDS:
             return now - self._current_at < _WATCHERS_LOST_STORE_SECONDS + self._jitter_seconds
         return now - self._fresh_at < _SILENCE_SECONDS + self._jitter_seconds
 
     def must_watch(self, is_watcher: bool, is_alone: bool = False) -> bool:
-        """Tell whether this daemon is to ask the store itself.
+        """Return whether this daemon must call the store itself.
 
         Args:
-            is_watcher: whether it is among those that watch for all.
+            is_watcher: whether it is one of the daemons that watch on behalf of all.
             is_alone: whether it knows no other daemon.
         """
         running_seconds = self._clock.monotonic() - self._started_at
