--- a/packages/kitekeel-backends/src/kitekeel_backends/load_probes.py
+++ b/packages/kitekeel-backends/src/kitekeel_backends/load_probes.py
@@ -1,4 +1,4 @@
-"""Asks back ends for their load, on one thread for each back end that this daemon keeps."""
+"""Polls back ends for their load reports, with one thread per back end."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """A back end to be probed.
 
     Attributes:
-        name: identifies it; a target that is no longer listed is no longer probed.
+        name: identifies the back end; probing stops when the target is no longer listed.
     """
 
     name: str
@@ -26,7 +26,7 @@
 
 
 class LoadProbes:
-    """Probes the targets that a function lists.
+    """Probes the targets that a callback returns.
 
     Args:
         targets: returns the back ends to be probed now.
@@ -49,7 +49,7 @@
         self._running: dict[ProbeTarget, threading.Event] = {}
 
     def run(self, stop: threading.Event) -> None:
-        """Start and end probe threads as the targets change, until told to stop."""
+        """Start and stop probe threads as the targets change, until told to stop."""
         while not stop.wait(self._interval_seconds):
             wanted = set(self._targets())
             for target in self._running.keys() - wanted:
@@ -64,10 +64,10 @@
         self._running[target] = ended
         name = f"probe-{target.name}"
         threading.Thread(
-            target=self._probe_until, args=(target, ended), name=name, daemon=True
+            target=self._probe_repeatedly, args=(target, ended), name=name, daemon=True
         ).start()
 
-    def _probe_until(self, target: ProbeTarget, ended: threading.Event) -> None:
+    def _probe_repeatedly(self, target: ProbeTarget, ended: threading.Event) -> None:
         http = urllib3.PoolManager(maxsize=1, retries=False)
         url = f"http://{target.address}/-/load"
         while not ended.is_set():
--- a/packages/kitekeel-backends/src/kitekeel_backends/process_state.py
+++ b/packages/kitekeel-backends/src/kitekeel_backends/process_state.py
@@ -1,4 +1,4 @@
-"""Tells whether a back end's process is still there, by opening a connection to it."""
+"""Checks whether a back end's process is running by opening a connection to it."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class ProcessState(enum.Enum):
-    """What a connection shows.
+    """State of a process as shown by a connection attempt.
 
-    ``GONE``: nothing listens there, though the machine answers. ``SILENT``: nothing answers, as
-    behind a cut or on a machine without power.
+    ``GONE``: nothing listens at the address, although the machine answers. ``SILENT``: there is no
+    answer, as with a network partition or a machine without power.
     """
 
     GONE = "gone"
@@ -19,7 +19,7 @@
 
 
 async def find_process_state(address: str, timeout_seconds: float) -> ProcessState:
-    """Return the state of whatever listens at ``IP:port``."""
+    """Return the state of the process that should listen at ``IP:port``."""
     name, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(timeout_seconds):
--- a/packages/kitekeel-platform/src/kitekeel_platform/client.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/client.py
@@ -139,7 +139,9 @@
         if response.status == _CONFLICT:
             return None
         if response.status == _TOO_MANY_REQUESTS:
-            raise PlatformUnavailableError("the platform limits our rate", _retry_after(response))
+            raise PlatformUnavailableError(
+                "the platform rate-limited the write", _retry_after(response)
+            )
         if response.status >= _FIRST_SERVER_ERROR:
             raise WriteOutcomeUnknownError(f"the platform answered {response.status} to a write")
         version = _parse_version(response)
@@ -187,7 +189,7 @@
     try:
         return msgspec.json.decode(document, type=document_type)
     except (msgspec.MsgspecError, RecursionError) as error:
-        text = f"a document of the platform is no {document_type.__name__}: {error}"
+        text = f"a document of the platform is not a valid {document_type.__name__}: {error}"
         raise PlatformAnswerError(text) from error
 
 
--- a/packages/kitekeel-platform/src/kitekeel_platform/configuration_store.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/configuration_store.py
@@ -101,7 +101,7 @@
                     raise
             if steady_seconds() >= deadline:
                 raise ConfigurationOutcomeUnknownError(
-                    "the platform did not tell whether the change was written; "
+                    "the platform did not confirm whether the change was written; "
                     f"repeat it with --command-id {command_id}",
                     1.0,
                 )
@@ -133,4 +133,6 @@
 def _conflict(base: Configuration, current: Configuration) -> ConfigurationConflictError:
     between = [each for each in current.commands if each.revision > base.revision]
     changes = "; ".join(f"revision {each.revision}: {each.text}" for each in between)
-    return ConfigurationConflictError(f"another change came first ({changes}); look and repeat")
+    return ConfigurationConflictError(
+        f"another change came first ({changes}); review it and repeat the command"
+    )
--- a/packages/kitekeel-platform/src/kitekeel_platform/counted_store.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/counted_store.py
@@ -1,4 +1,4 @@
-"""Counts a daemon's calls of the platform's store by kind, since every call is priced."""
+"""Counts a daemon's calls to the platform's store by kind, since every call has a price."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class CountedStore:
-    """Implements :class:`FleetStore` by another one, counting.
+    """Wraps a :class:`FleetStore` and counts its calls.
 
-    A read of many items is one here, although the store may answer it in several pages.
+    A read of many items counts as one call, although the store may answer it in several pages.
 
     Args:
-        store: makes the calls.
+        store: the store that makes the calls.
         count: called with the kind of each call before it is made.
     """
 
@@ -44,7 +44,7 @@
         await self._store.probe(seconds)
 
     async def grant_lease(self, life_seconds: float) -> int:
-        """Count and ask for a lease."""
+        """Count and create a lease."""
         self._count("grant-lease")
         return await self._store.grant_lease(life_seconds)
 
@@ -69,16 +69,16 @@
         return await self._store.registered_daemons()
 
     async def crash_records(self) -> StoredCrashRecords:
-        """Count and read."""
+        """Count and read the crash records."""
         self._count("read-crash-records")
         return await self._store.crash_records()
 
     async def write_crash_record(self, stored: StoredCrashRecord) -> None:
-        """Count and write."""
+        """Count and write a crash record."""
         self._count("write-crash-record")
         await self._store.write_crash_record(stored)
 
     async def remove_crash_record(self, stored: StoredCrashRecord) -> None:
-        """Count and remove."""
+        """Count and remove a crash record."""
         self._count("remove-crash-record")
         await self._store.remove_crash_record(stored)
--- a/packages/kitekeel-platform/src/kitekeel_platform/key_claims.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/key_claims.py
@@ -1,9 +1,10 @@
-"""Claims of idempotency keys that name no home: create-if-absent at the platform.
+"""Claims idempotency keys that name no home by a create-if-absent write at the platform.
 
-The first daemon to create the claim is the key's home. A claim whose answer was lost is read back:
-it names the home, this instance or another. Two attempts at one instance may both find themselves
-its home; the key table there lets one of them run. Claims cost writes, of which the platform bears
-some hundred a second; callers that use home tokens need none.
+The first daemon to create the claim is the key's home. If the answer to the write is lost, the
+claim is read back; it names the home, which is this instance or another. Two attempts at one
+instance may both get that instance as the home; its key table lets only one of them run. Each claim
+costs a write, and the platform sustains about a hundred writes a second; callers that use home
+tokens need no claims.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
     WriteOutcomeUnknownError,
 )
 
-_READ_BACK_TRIES = 3
+_READ_BACK_ATTEMPTS = 3
 
 
 class KeyClaim(msgspec.Struct, frozen=True):
-    """Who is the home of a key."""
+    """The stored claim: the instance that is the home of a key."""
 
     instance: str
 
@@ -32,10 +33,10 @@
     """Claims keys for one daemon instance.
 
     Args:
-        client: the platform.
-        instance: this process start.
-        life_seconds: how long a claim lasts; a repeat after that is not recognised, so it must be
-            longer than any caller repeats.
+        client: client of the platform.
+        instance: id of this daemon instance, new at each start of the process.
+        life_seconds: lifetime of a claim. Later repeats are not recognised, so it must exceed the
+            time during which callers repeat requests.
     """
 
     def __init__(self, client: PlatformClient, instance: str, life_seconds: float) -> None:
@@ -44,10 +45,10 @@
         self._life_seconds = life_seconds
 
     def claim(self, key: str) -> str:
-        """Return the instance that is the key's home, claiming it for this one if it has none.
+        """Return the instance that is the key's home; claim the key for this one if it has none.
 
         Raises:
-            ClaimFailedError: the platform does not tell who the home is; nothing may be run.
+            ClaimFailedError: the home could not be determined; the request must not be run.
         """
         name = f"kitekeel/keys/{hashlib.sha256(key.encode()).hexdigest()}"
         claim = KeyClaim(self._instance)
@@ -62,13 +63,13 @@
         return self._read_home(name)
 
     def _read_home(self, name: str) -> str:
-        for _ in range(_READ_BACK_TRIES):
+        for _ in range(_READ_BACK_ATTEMPTS):
             try:
                 found = self._client.read(name)
                 if found.version:
                     return read_document(found.value, KeyClaim).instance
             except PlatformError:
                 continue
-        # With no claim to be read, the lost write may still take effect. It then names this
-        # instance, which has not begun the key, so refusing it as not run is true.
-        raise ClaimFailedError("the platform does not tell who claimed the key", 1.0)
+        # If no claim could be read, the write may still take effect. The claim then names this
+        # instance, which has not started the request, so reporting it as not run is correct.
+        raise ClaimFailedError("the platform did not return who claimed the key", 1.0)
--- a/packages/kitekeel-platform/src/kitekeel_platform/rate_budget.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/rate_budget.py
@@ -8,12 +8,12 @@
 
 
 class RateBudget:
-    """Allows some calls per second, with a burst.
+    """Limits the rate of calls, allowing a burst.
 
     Args:
-        clock: refills the bucket.
-        per_second: calls earned each second.
-        burst: most calls at once.
+        clock: time source for refilling the bucket.
+        per_second: calls added to the budget each second.
+        burst: maximum number of calls at once.
     """
 
     def __init__(self, clock: Clock, per_second: float, burst: float) -> None:
@@ -25,11 +25,11 @@
         self._lock = threading.Lock()
 
     def try_take(self) -> bool:
-        """Take one call from the budget; tell whether there was one."""
+        """Take one call from the budget; return whether one was available."""
         with self._lock:
             now = self._clock.monotonic()
-            earned = (now - self._refilled_at) * self._per_second
-            self._tokens = min(self._burst, self._tokens + earned)
+            refill = (now - self._refilled_at) * self._per_second
+            self._tokens = min(self._burst, self._tokens + refill)
             self._refilled_at = now
             if self._tokens < 1.0:
                 return False
--- a/packages/kitekeel-platform/src/kitekeel_platform/store_probe.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/store_probe.py
@@ -1,9 +1,9 @@
-"""Notices that the store has fallen silent, and that it answers again.
+"""Detects when the store stops answering and when it answers again.
 
-A watch that waits looks the same whether nothing changes or its connection leads nowhere, and one
-that was sent into an outage is never answered. So the store is asked for next to nothing every
-second; after an outage the watches are started anew instead of being waited for. A daemon that does
-not watch does not ask.
+A pending watch looks the same whether nothing changes or its connection is dead, and one that was
+sent during an outage is never answered. The store is therefore probed with a minimal request every
+second; after an outage the watches are restarted instead of awaited. A daemon that does not watch
+the store does not probe it.
 """
 
 from __future__ import annotations
@@ -19,18 +19,20 @@
 
 _INTERVAL_SECONDS = 1.0
 _INTERVAL_WHILE_LOST_SECONDS = 0.3
-# A slow store is not a lost one. Once it is lost, its return is to be noticed soon: a healthy one
-# answers in milliseconds, and the longest way there and back takes 0.12 s.
+# The time-out is long so that a slow store is not taken for a lost one. While the store is lost, it
+# is shorter, to notice the return soon: a healthy store answers in milliseconds, and the longest
+# round trip takes 0.12 s.
 _TIMEOUT_SECONDS = 1.0
 _TIMEOUT_WHILE_LOST_SECONDS = 0.5
 
 
 class StoreProbe:
-    """The task that asks.
+    """The task that probes the store.
 
     Args:
         on_answer: called at each answer.
-        on_change: told whether the store answers, and else why not, each time that changes.
+        on_change: called each time the state changes, with whether the store answers and, if not,
+            the reason.
         contact: shared by everything that calls the store.
     """
 
@@ -52,7 +54,7 @@
         self.is_store_lost = False
 
     def follow(self, is_following: bool) -> None:
-        """Begin to ask, or rest; what was found before a rest is forgotten."""
+        """Start probing, or pause; a pause resets the state."""
         if is_following:
             self._is_needed.set()
             return
@@ -60,29 +62,29 @@
         self.is_store_lost = False
 
     def ask_soon(self) -> None:
-        """Ask without waiting for the interval's end."""
+        """Probe now instead of waiting for the end of the interval."""
         self._pause.end()
 
     async def run(self) -> None:
-        """Ask, whenever that is needed, until cancelled."""
+        """Probe the store, while that is needed, until cancelled."""
         while True:
             await self._is_needed.wait()
-            await self._ask()
+            await self._probe()
             seconds = _INTERVAL_WHILE_LOST_SECONDS if self.is_store_lost else _INTERVAL_SECONDS
             await self._pause.sleep(seconds * self._random.uniform(0.8, 1.2))
 
-    async def _ask(self) -> None:
+    async def _probe(self) -> None:
         seconds = _TIMEOUT_WHILE_LOST_SECONDS if self.is_store_lost else _TIMEOUT_SECONDS
         try:
             await self._store.probe(seconds)
         except PlatformError as error:
-            self._note(error.message)
+            self._report_state(error.message)
             return
         self._contact.note_answer()
-        self._note("")
+        self._report_state("")
         self._on_answer()
 
-    def _note(self, failure: str) -> None:
+    def _report_state(self, failure: str) -> None:
         if not self._is_needed.is_set():
             return
         is_lost = bool(failure)
--- a/packages/kitekeel-platform/src/kitekeel_platform/watchers.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/watchers.py
@@ -1,7 +1,7 @@
-"""Loops that follow the platform: the configuration by a watch, the machine list by polling.
+"""Loops that track the platform's data: the configuration by a watch, the machine list by polling.
 
-Only a few daemons run them at any time, whatever the number of daemons: the caller of ``run`` says
-when this one is among them.
+Only a few daemons do this at any time, however many daemons there are; the ``is_watcher`` callback
+tells the loops whether this daemon is one of them.
 """
 
 from __future__ import annotations
@@ -16,19 +16,20 @@
 
 _WATCH_SECONDS = 20.0
 _IDLE_SECONDS = 0.5
-_FIRST_PAUSE_SECONDS = 0.25
-_LONGEST_PAUSE_SECONDS = 2.0
+_INITIAL_BACKOFF_SECONDS = 0.25
+_MAX_BACKOFF_SECONDS = 2.0
 
 
 class ConfigurationWatch:
-    """Follows the configuration document.
+    """Tracks the configuration document.
 
     Args:
-        store: where it is kept.
+        store: the store that holds it.
         revision: returns the revision this daemon already has.
-        on_change: receives a later one.
-        is_watcher: tells whether this daemon is to watch at present.
-        on_failure: told why the platform could not be asked or read; the former beliefs hold.
+        on_change: called with a later configuration.
+        is_watcher: returns whether this daemon is to watch at present.
+        on_failure: called with the error if the platform did not answer or its answer could not be
+            read; the previous configuration stays in use.
     """
 
     def __init__(
@@ -46,25 +47,25 @@
         self._on_failure = on_failure
 
     def run(self, stop: threading.Event) -> None:
-        """Watch until told to stop, slower while the platform does not answer."""
-        pause = _FIRST_PAUSE_SECONDS
+        """Watch until told to stop, backing off while the platform does not answer."""
+        pause = _INITIAL_BACKOFF_SECONDS
         while not stop.is_set():
             if not self._is_watcher():
                 stop.wait(_IDLE_SECONDS)
                 continue
             try:
                 found = self._store.watch(self._revision(), _WATCH_SECONDS)
-                pause = _FIRST_PAUSE_SECONDS
+                pause = _INITIAL_BACKOFF_SECONDS
                 if found is not None:
                     self._on_change(found)
             except PlatformError as error:
                 self._on_failure(error)
                 stop.wait(pause)
-                pause = min(_LONGEST_PAUSE_SECONDS, 2 * pause)
+                pause = min(_MAX_BACKOFF_SECONDS, 2 * pause)
 
 
 class MachineListPoll:
-    """Follows the machine list, which has no watch."""
+    """Polls the machine list, which cannot be watched."""
 
     def __init__(
         self,
