--- a/packages/kitekeel-platform/src/kitekeel_platform/crash_record_sync.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/crash_record_sync.py
@@ -138,7 +138,7 @@
             self._write_requested.set()
 
     async def claim_try(self, identity: str, reason: str) -> bool:
-        """Claim a guarded retry, of which there is one per reason across all daemons.
+        """Claim a careful try, of which there is one per reason across all daemons.
 
         Returns false if the store does not answer or another daemon claimed it first. If the answer
         to a claim's write is lost, no daemon uses that claim.
--- a/packages/kitekeel-platform/src/kitekeel_platform/key_claims.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/key_claims.py
@@ -3,7 +3,7 @@
 The first daemon to create the claim is the key's home. If the answer to the write is lost, the
 claim is read back; it names the home, which is this instance or another. Two attempts at one
 instance may both get that instance as the home; its key table lets only one of them run. Each claim
-costs a write, and the platform sustains about a hundred writes a second; callers that use home
+costs a write, and the platform sustains a few hundred writes a second; callers that use home
 tokens need no claims.
 """
 
