--- a/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_follower.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/fleet_follower.py
@@ -17,7 +17,7 @@
 from kitekeel_daemon.gateway_metrics import GatewayMetrics
 from kitekeel_peers.view_exchange import ExchangeListeners, PullResult
 from kitekeel_platform.fleet_store import DocumentFinding, FleetStore
-from kitekeel_platform.fleet_sync import FleetSync, SyncListeners, TakenAnswer
+from kitekeel_platform.fleet_sync import FleetSync, StoreAnswer, SyncListeners
 from kitekeel_platform.store_contact import StoreContact
 from kitekeel_platform.store_probe import StoreProbe
 from kitekeel_platform.watch_duty import FRESH_SECONDS, WatchDuty
@@ -158,7 +158,7 @@
         """
         return ExchangeListeners(
             on_subscriber,
-            lambda part: not self._is_watching or self._syncs[part].is_joining_changes,
+            lambda part: not self._is_watching or self._syncs[part].is_collecting_changes,
             self._on_pulled,
             self._on_contradiction,
         )
@@ -225,7 +225,7 @@
     def _on_removals_held(self, count: int) -> None:
         self._log.state(RemovalsHeld(count, round(self._view.age_seconds(), 2)))
 
-    def _on_store_answer(self, answer: TakenAnswer) -> None:
+    def _on_store_answer(self, answer: StoreAnswer) -> None:
         call = "read" if answer.after is None else "watch"
         self._metrics.note_store_call(call, answer.seconds)
         self._log.state(
@@ -254,10 +254,10 @@
             return
         for part in result.ahead:
             # The store answers this daemon, so the part's watch should have reported this change.
-            self._syncs[part].catch_up()
+            self._syncs[part].restart_if_stale()
 
     def _on_contradiction(self, address: str, parts: list[FleetPart]) -> None:
         self._metrics.increment("view.contradicted")
         for part in parts:
             self._log.state(BeliefsContradicted(address, part.name.lower()))
-            self._syncs[part].read_anew()
+            self._syncs[part].request_full_read()
