--- a/packages/kitekeel-daemon/src/kitekeel_daemon/crash_guard.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/crash_guard.py
@@ -176,9 +176,9 @@
         if self._store_sync is None:
             return
         if change.source in (OWN, OPERATOR):
-            self._store_sync.note_found(change)
+            self._store_sync.on_local_change(change)
         elif change.source.startswith("peer"):
-            self._store_sync.note_heard(change)
+            self._store_sync.on_remote_change(change)
 
     def _log_change(self, change: LedgerChange) -> None:
         """Log a change of a crash record.
--- a/packages/kitekeel-platform/src/kitekeel_platform/crash_record_sync.py
+++ b/packages/kitekeel-platform/src/kitekeel_platform/crash_record_sync.py
@@ -88,12 +88,12 @@
             self._report_state("")
             await self._wait()
 
-    def note_found(self, change: LedgerChange) -> None:
+    def on_local_change(self, change: LedgerChange) -> None:
         """Schedule a write after a change made by this daemon or its operator."""
         if self._must_persist(change):
             self._write_requested.set()
 
-    def note_heard(self, change: LedgerChange) -> None:
+    def on_remote_change(self, change: LedgerChange) -> None:
         """Schedule a delayed write after a change reported by another daemon.
 
         That daemon normally writes the change itself.
