--- a/packages/kitekeel-callers/src/kitekeel_callers/answers.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/answers.py
@@ -61,7 +61,7 @@
     retry_after_seconds: int | None
 
 
-class OwnAnswer(msgspec.Struct, frozen=True):
+class BufferedAnswer(msgspec.Struct, frozen=True):
     """A complete answer with its body in memory."""
 
     status: HTTPStatus
@@ -74,7 +74,7 @@
         return f"{self.status.value} {self.status.phrase}"
 
 
-def error_answer(error: KitekeelError, home_not_asked: bool = False) -> OwnAnswer:
+def error_answer(error: KitekeelError, home_not_asked: bool = False) -> BufferedAnswer:
     """Return the answer for an error.
 
     Args:
@@ -95,9 +95,11 @@
     return json_answer(_status_for(error), msgspec.json.encode(body), tuple(headers))
 
 
-def json_answer(status: HTTPStatus, body: bytes, headers: tuple[tuple[str, str], ...]) -> OwnAnswer:
+def json_answer(
+    status: HTTPStatus, body: bytes, headers: tuple[tuple[str, str], ...]
+) -> BufferedAnswer:
     """Return an answer with ``Content-Length`` set."""
-    return OwnAnswer(status, (*headers, ("Content-Length", str(len(body)))), body)
+    return BufferedAnswer(status, (*headers, ("Content-Length", str(len(body)))), body)
 
 
 def _status_for(error: KitekeelError) -> HTTPStatus:
--- a/packages/kitekeel-callers/src/kitekeel_callers/entries.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/entries.py
@@ -10,7 +10,7 @@
 import msgspec
 import xxhash
 
-from kitekeel_callers.answers import OwnAnswer, error_answer, json_answer
+from kitekeel_callers.answers import BufferedAnswer, error_answer, json_answer
 from kitekeel_callers.caller_request import Environment
 from kitekeel_callers.intake import StartResponse
 from kitekeel_steering.clock import Clock
@@ -65,7 +65,7 @@
 class _PreparedAnswers(msgspec.Struct, frozen=True):
     """Cached answers for one service and zone, one per rotation of the nearest entries."""
 
-    answers: tuple[OwnAnswer, ...]
+    answers: tuple[BufferedAnswer, ...]
     prepared_at: float
     state: tuple[int, int]
 
@@ -117,7 +117,7 @@
         start_response(answer.status_line, list(answer.headers))
         return [answer.body]
 
-    def answer(self, service: str, zone: str, block: str) -> OwnAnswer:
+    def answer(self, service: str, zone: str, block: str) -> BufferedAnswer:
         """Return the cached answer for a service, a caller's zone and its client block."""
         configuration = self._configuration()
         if configuration.revision == 0:
@@ -146,7 +146,7 @@
 
     def _build_answers(
         self, configuration: Configuration, service: str, zone: str
-    ) -> tuple[OwnAnswer, ...]:
+    ) -> tuple[BufferedAnswer, ...]:
         region = next((each.name for each in configuration.regions if zone in each.zones), "")
 
         def distance(machine: EntryMachine) -> tuple[bool, float, bool]:
@@ -164,7 +164,7 @@
             for offset in range(rotations)
         )
 
-    def _build_answer(self, service: str, machines: list[EntryMachine]) -> OwnAnswer:
+    def _build_answer(self, service: str, machines: list[EntryMachine]) -> BufferedAnswer:
         expires_at = int(self._clock.wall()) + self._timing.token_life_seconds
         entries = tuple(
             Entry(
--- a/packages/kitekeel-callers/src/kitekeel_callers/intake.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/intake.py
@@ -13,7 +13,7 @@
     ANSWERED,
     CODE_HEADER,
     OUTCOME_HEADER,
-    OwnAnswer,
+    BufferedAnswer,
     error_answer,
     json_answer,
 )
@@ -121,7 +121,7 @@
     def _respond_with_error(
         self,
         request: CallerRequest,
-        answer: OwnAnswer,
+        answer: BufferedAnswer,
         error: KitekeelError,
         start_response: StartResponse,
     ) -> Iterable[bytes]:
@@ -129,7 +129,9 @@
         self._ended.note_ended(request, _get_outcome(answer), f"{error.code}: {error.message}")
         return self._respond_locally(answer, start_response)
 
-    def _respond_locally(self, answer: OwnAnswer, start_response: StartResponse) -> Iterable[bytes]:
+    def _respond_locally(
+        self, answer: BufferedAnswer, start_response: StartResponse
+    ) -> Iterable[bytes]:
         headers = list(answer.headers)
         self._metrics.increment(f"requests.{_get_outcome(answer)}")
         self._add_connection_close(headers)
@@ -203,11 +205,11 @@
     answer_status: int
 
 
-def _get_outcome(answer: OwnAnswer) -> str:
+def _get_outcome(answer: BufferedAnswer) -> str:
     return dict(answer.headers).get(OUTCOME_HEADER, ANSWERED)
 
 
-def _kept_answer(answer: KeptAnswer) -> OwnAnswer:
+def _kept_answer(answer: KeptAnswer) -> BufferedAnswer:
     if answer.body is not None:
         headers = (*answer.headers, (OUTCOME_HEADER, ANSWERED))
         return json_answer(HTTPStatus(answer.status), answer.body, headers)
--- a/packages/kitekeel-lab/src/kitekeel_lab/back_end_server.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/back_end_server.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from kitekeel_callers.answers import OwnAnswer, json_answer
+from kitekeel_callers.answers import BufferedAnswer, json_answer
 from kitekeel_callers.caller_request import Environment
 from kitekeel_callers.front import HttpServer, ServerLimits
 from kitekeel_callers.intake import StartResponse
@@ -111,7 +111,7 @@
             self.record.running -= 1
             self._cancelled.pop(request_id, None)
 
-    def _cancel(self, request_id: str) -> OwnAnswer:
+    def _cancel(self, request_id: str) -> BufferedAnswer:
         with self._lock:
             event = self._cancelled.get(request_id)
             if event is not None:
@@ -129,7 +129,7 @@
             return "break"
         return "cut" if drawn < self.faults.break_share + self.faults.cut_share else ""
 
-    def _report(self) -> OwnAnswer:
+    def _report(self) -> BufferedAnswer:
         faults = self.faults
         if faults.report_frozen:
             return json_answer(HTTPStatus.SERVICE_UNAVAILABLE, b"{}", ())
@@ -244,7 +244,7 @@
     return BackEndServers(farm, control)
 
 
-def _send(answer: OwnAnswer, start_response: StartResponse) -> Iterable[bytes]:
+def _send(answer: BufferedAnswer, start_response: StartResponse) -> Iterable[bytes]:
     start_response(answer.status_line, list(answer.headers))
     return [answer.body]
 
--- a/packages/kitekeel-lab/src/kitekeel_lab/platform_server.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/platform_server.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from kitekeel_callers.answers import OwnAnswer, json_answer
+from kitekeel_callers.answers import BufferedAnswer, json_answer
 from kitekeel_callers.caller_request import Environment
 from kitekeel_callers.front import HttpServer, ServerLimits
 from kitekeel_callers.intake import StartResponse
@@ -64,7 +64,7 @@
         start_response(answer.status_line, list(answer.headers))
         return [answer.body]
 
-    def _answer(self, environment: Environment) -> OwnAnswer:
+    def _answer(self, environment: Environment) -> BufferedAnswer:
         path = str(environment["PATH_INFO"])
         if path.startswith("/-/"):
             return self._control(path, environment)
@@ -82,7 +82,7 @@
             return self._write(key, environment)
         return self._read(key, environment)
 
-    def _read(self, key: str, environment: Environment) -> OwnAnswer:
+    def _read(self, key: str, environment: Environment) -> BufferedAnswer:
         query = parse_qs(str(environment.get("QUERY_STRING", "")))
         if "after" not in query:
             self._count("reads")
@@ -99,7 +99,7 @@
                 return _answer(HTTPStatus.NOT_MODIFIED)
         return _answer(HTTPStatus.OK, found.value, (("Version", str(found.version)),))
 
-    def _write(self, key: str, environment: Environment) -> OwnAnswer:
+    def _write(self, key: str, environment: Environment) -> BufferedAnswer:
         self._count("writes")
         query = parse_qs(str(environment.get("QUERY_STRING", "")))
         lease = query.get("ttl")
@@ -123,7 +123,7 @@
             self._faults = msgspec.structs.replace(self._faults, lose_write_answers=left - 1)
             return True
 
-    def _control(self, path: str, environment: Environment) -> OwnAnswer:
+    def _control(self, path: str, environment: Environment) -> BufferedAnswer:
         if path == "/-/counts":
             return _answer(HTTPStatus.OK, msgspec.json.encode(dict(self._counts)))
         body = _read_body(environment)
@@ -161,5 +161,5 @@
 
 def _answer(
     status: HTTPStatus, body: bytes = b"", headers: tuple[tuple[str, str], ...] = ()
-) -> OwnAnswer:
+) -> BufferedAnswer:
     return json_answer(status, body, headers)
