--- a/packages/kitekeel-callers/src/kitekeel_callers/in_flight.py
+++ b/packages/kitekeel-callers/src/kitekeel_callers/in_flight.py
@@ -34,7 +34,7 @@
         """Return the number of requests in flight."""
         return self._count
 
-    def wait_until_none(self, seconds: float) -> bool:
+    def wait_until_idle(self, seconds: float) -> bool:
         """Wait until no request is in flight; return false on a timeout."""
         with self._changed:
             return self._changed.wait_for(lambda: self._count == 0, seconds)
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/planned_stop.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/planned_stop.py
@@ -54,7 +54,7 @@
 
     def _finish_requests(self, successor: MemberRecord | None) -> None:
         """Wait for all requests in flight, then send the successor the final state of the keys."""
-        finished = self._daemon.in_flight.wait_until_none(_MAX_DRAIN_SECONDS)
+        finished = self._daemon.in_flight.wait_until_idle(_MAX_DRAIN_SECONDS)
         if successor is not None:
             ended = self._daemon.key_table.export_ended(self._running_keys)
             self._daemon.handover.send(successor, ended)
@@ -65,7 +65,7 @@
         """Announce the departure, keep serving briefly while it spreads, and stop."""
         self._daemon.membership.announce_left()
         time.sleep(_LINGER_SECONDS)
-        self._daemon.in_flight.wait_until_none(_LINGER_SECONDS)
+        self._daemon.in_flight.wait_until_idle(_LINGER_SECONDS)
         self._daemon.stop_loops()
 
     def _successors(self) -> list[MemberRecord]:
