--- a/packages/kitekeel-daemon/src/kitekeel_daemon/daemon.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/daemon.py
@@ -26,7 +26,7 @@
 from kitekeel_daemon.queries import Queries
 from kitekeel_daemon.request_guard import RequestGuard
 from kitekeel_daemon.request_runner import RequestRunner
-from kitekeel_operators.endpoints import operator_application
+from kitekeel_operators.endpoints import create_operator_application
 from kitekeel_peers.configuration_spread import ConfigurationSpread
 from kitekeel_peers.grant_exchanges import GrantExchanges
 from kitekeel_peers.keeper import Keeper
@@ -221,7 +221,7 @@
             self.recorder,
             self.stop_requested,
         )
-        application = operator_application(operations, self.settings.operators.key)
+        application = create_operator_application(operations, self.settings.operators.key)
         self.operator_server = HttpServer(
             self.settings.operators.address, application, _OPERATOR_LIMITS
         )
--- a/packages/kitekeel-operators/src/kitekeel_operators/endpoints.py
+++ b/packages/kitekeel-operators/src/kitekeel_operators/endpoints.py
@@ -128,7 +128,7 @@
             return msgspec.json.encode(failure)
 
 
-def operator_application(operations: Operations, key: str) -> Any:
+def create_operator_application(operations: Operations, key: str) -> Any:
     """Return the WSGI application of the operators' interface."""
     application = cherrypy.Application(OperatorEndpoints(operations, key), script_name="/v1")
     application.merge(
