--- a/packages/kitekeel-daemon/src/kitekeel_daemon/start_signals.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/start_signals.py
@@ -11,7 +11,7 @@
 
 
 def hold_signals() -> None:
-    """Block stop signals until they can be handled; ignore SIGHUP, as there is nothing to reload."""
+    """Block stop signals until they can be handled; ignore SIGHUP: there is nothing to reload."""
     signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
