--- a/packages/kitekeel-daemon/src/kitekeel_daemon/__main__.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/__main__.py
@@ -1,9 +1,10 @@
 """Runs a daemon: ``kitekeeld --settings FILE``, or ``python -m kitekeel_daemon``."""
 
-from kitekeel_daemon.start_signals import hold_signals
+from kitekeel_daemon.start_signals import block_stop_signals
 
-# Loading the modules below takes most of the start; a stop signal must not end it meanwhile.
-hold_signals()
+# Importing the modules below takes most of the startup time. A stop signal must not kill
+# the process during it.
+block_stop_signals()
 
 from kitekeel_daemon.main import main  # noqa: E402
 
--- a/packages/kitekeel-daemon/src/kitekeel_daemon/view_changes.py
+++ b/packages/kitekeel-daemon/src/kitekeel_daemon/view_changes.py
@@ -1,4 +1,4 @@
-"""Has every part of a gateway follow a change of what it believes about the fleet, and logs it."""
+"""Passes each change of the fleet view on to the components of a gateway, and logs it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from kitekeel_daemon.decision_log import DecisionLog
 from kitekeel_daemon.departures import Departures
 from kitekeel_daemon.gateway_metrics import GatewayMetrics
-from kitekeel_daemon.process_ends import ProcessEnds
+from kitekeel_daemon.process_ends import ProcessEndDetector
 from kitekeel_daemon.running_exchanges import RunningExchanges
 from kitekeel_steering.fleet_items import ItemKind
 from kitekeel_steering.fleet_view import ViewChange
@@ -16,14 +16,14 @@
 
 
 class ViewChanges:
-    """Passes changes on; called on the event loop."""
+    """Dispatches view changes; called on the event loop."""
 
     def __init__(
         self,
         states: BackEndStates,
         departures: Departures,
         running: RunningExchanges,
-        ends: ProcessEnds,
+        ends: ProcessEndDetector,
         limiter: BackEndLimiter,
         pool: ConnectionPool,
         metrics: GatewayMetrics,
@@ -35,7 +35,7 @@
         self._log = log
 
     def on_change(self, change: ViewChange) -> None:
-        """Take one change."""
+        """Pass one change on, update the metrics, and log it."""
         item = change.item
         for each in self._followers:
             each.on_change(change)
--- a/packages/kitekeel-lab/src/kitekeel_lab/experiment_plan.py
+++ b/packages/kitekeel-lab/src/kitekeel_lab/experiment_plan.py
@@ -16,7 +16,7 @@
 _BAR_PATTERN = re.compile(
     r"^(?P<left>[\w./-]+) (?P<sign><=|>=) (?P<number>[\d.]+)( \* (?P<right>[\w./-]+))?$"
 )
-_MOST_DAEMONS = 40
+_MAX_DAEMONS = 40
 
 
 class PlannedEvent(msgspec.Struct, frozen=True):
@@ -92,7 +92,7 @@
     """
     document = IniDocument(text, name)
     general = document.section("experiment")
-    back_ends = general.whole("back_ends", 0, 0, 1000)
+    back_ends = general.integer("back_ends", 0, 0, 1000)
     phases: list[Phase] = []
     bars: list[Bar] = []
     for section in document.sections:
@@ -103,7 +103,7 @@
     plan = ExperimentPlan(
         name=name,
         deployment=deployment,
-        daemons_per_region=general.whole("daemons", 4, 1, _MOST_DAEMONS),
+        daemons_per_region=general.integer("daemons", 4, 1, _MAX_DAEMONS),
         back_ends_per_pool=back_ends or None,
         mean_work_seconds=general.seconds("work", "500ms"),
         phases=tuple(phases),
@@ -157,7 +157,7 @@
         at, _, action = line.strip().partition(" ")
         seconds = parse_duration(at)
         if seconds is None or not action:
-            section.note("events", "bad-event", f"'{line.strip()}'", "TIME ACTION")
+            section.add_finding("events", "bad-event", f"'{line.strip()}'", "TIME ACTION")
             continue
         events.append(PlannedEvent(seconds, action))
     return tuple(events)
@@ -169,7 +169,7 @@
         match = _BAR_PATTERN.match(section.text(name))
         if match is None:
             allowed = "FIGURE <= NUMBER, or FIGURE <= NUMBER * FIGURE, or the same with >="
-            section.note(name, "bad-bar", f"'{section.text(name)}'", allowed)
+            section.add_finding(name, "bad-bar", f"'{section.text(name)}'", allowed)
             continue
         bars.append(
             Bar(
--- a/packages/kitekeel-peers/src/kitekeel_peers/limit_exchange.py
+++ b/packages/kitekeel-peers/src/kitekeel_peers/limit_exchange.py
@@ -1,4 +1,4 @@
-"""Shares the rate limits that back ends advertise among all daemons."""
+"""Replicates the rate limits that back ends advertise to all daemons."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 LIMITS = "Limits"
 # Limits the call rate when a back end advertises a different limit in every answer.
-_JOIN_SECONDS = 0.3
+_BATCH_SECONDS = 0.3
 LimitNews = RecordNews[LimitRecord]
 LimitReply = RecordReply[LimitRecord]
 
 
 class LimitExchange(RecordExchange[LimitRecord]):
-    """Shares the rate limits known to one daemon; see :class:`RecordExchange`."""
+    """Replicates the rate limits known to one daemon; see :class:`RecordExchange`."""
 
     def __init__(
         self,
@@ -40,5 +40,5 @@
             loop,
             generator,
             on_failure,
-            _JOIN_SECONDS,
+            _BATCH_SECONDS,
         )
--- a/tests/test_back_end_quota.py
+++ b/tests/test_back_end_quota.py
@@ -17,8 +17,8 @@
 from kitekeel_steering.tenant_quota import (
     BACK_END_LIMIT_MARGIN,
     LENDING_SECONDS,
-    LentTime,
     QuotaStock,
+    UnlentTime,
     back_end_shares,
 )
 
@@ -28,8 +28,8 @@
 WINDOW_SECONDS = BACK_END_LIMIT_MARGIN.window_seconds
 LIMIT = "b/1"
 HOME = "region-0"
-LEAST_PAUSE_SECONDS = 0.08
-MOST_PAUSE_SECONDS = 0.2
+MIN_PAUSE_SECONDS = 0.08
+MAX_PAUSE_SECONDS = 0.2
 
 
 class SimulatedClock:
@@ -93,7 +93,7 @@
             MemoryMetrics(),
             lambda: {LIMIT: fleet.shares},
         )
-        self.lent = LentTime(fleet.clock.now)
+        self.unlent = UnlentTime(fleet.clock.now)
         self.stock = QuotaStock(fleet.random.random())
         self.next_loan_at = fleet.clock.now + fleet.random.uniform(0.0, LENDING_SECONDS)
         self.refused_until = 0.0
@@ -109,9 +109,9 @@
             return True
         if self.fleet.clock.now < self.refused_until:
             return False
-        granted = self._exchange(1 + self.stock.most(shares, daemons) - self.stock.tokens)
+        granted = self._exchange(1 + self.stock.max_tokens(shares, daemons) - self.stock.tokens)
         if not granted:
-            pause = self.fleet.random.uniform(LEAST_PAUSE_SECONDS, MOST_PAUSE_SECONDS)
+            pause = self.fleet.random.uniform(MIN_PAUSE_SECONDS, MAX_PAUSE_SECONDS)
             self.refused_until = self.fleet.clock.now + pause
             return False
         self.stock.add(shares, daemons, int(granted) - 1)
@@ -120,7 +120,7 @@
     def _exchange(self, wanted: int) -> float:
         fleet = self.fleet
         wants = (QuotaWant(LIMIT, wanted, fleet.shares),) if wanted else ()
-        seconds = self.lent.take(fleet.clock.now)
+        seconds = self.unlent.take(fleet.clock.now)
         request = QuotaRequest(0, self.address, seconds, fleet.daemons, wants)
         reply: QuotaReply = fleet.by_address[f"{self.region}:0"].pools.serve(request)
         return sum(each.tokens for each in reply.grants)
--- a/tests/test_quota_model.py
+++ b/tests/test_quota_model.py
@@ -11,11 +11,11 @@
 
 from kitekeel_steering.tenant_quota import (
     BACK_END_LIMIT_MARGIN,
-    LentTime,
-    OwnEarnings,
     QuotaMargin,
     QuotaPool,
     QuotaStock,
+    StandaloneTokens,
+    UnlentTime,
     back_end_shares,
     quota_shares,
 )
@@ -37,10 +37,10 @@
         self.restart(now)
 
     def restart(self, now: float) -> None:
-        self.lent = LentTime(now)
+        self.unlent = UnlentTime(now)
         self.pool = QuotaPool(lambda _tenant: self.rounding)
         self.stock = QuotaStock(self.rounding)
-        self.earnings: OwnEarnings | None = None
+        self.earnings: StandaloneTokens | None = None
 
 
 class QuotaModel(RuleBasedStateMachine):
@@ -78,8 +78,10 @@
 
     @rule(number=daemon_numbers, other=daemon_numbers, wanted=st.integers(1, 200))
     def a_keeper_asks_another(self, number: int, other: int, wanted: int) -> None:
-        taken = self.daemons[other].pool.take_part("t", self.shares, wanted, self.now, DAEMONS)
-        self.daemons[number].pool.move_in("t", self.shares, taken, self.now, DAEMONS)
+        taken = self.daemons[other].pool.take_for_transfer(
+            "t", self.shares, wanted, self.now, DAEMONS
+        )
+        self.daemons[number].pool.add_transferred("t", self.shares, taken, self.now, DAEMONS)
 
     @rule(number=daemon_numbers, keeper=daemon_numbers)
     def a_token_is_given_back(self, number: int, keeper: int) -> None:
@@ -96,8 +98,8 @@
     def earns_alone(self, number: int, requests: int) -> None:
         daemon = self.daemons[number]
         if daemon.earnings is None:
-            daemon.lent.take(self.now)
-            daemon.earnings = OwnEarnings(daemon.rounding, self.now)
+            daemon.unlent.take(self.now)
+            daemon.earnings = StandaloneTokens(daemon.rounding, self.now)
         for _ in range(requests):
             taken = daemon.stock.take(self.shares, DAEMONS)
             if not taken and not daemon.earnings.take(self.shares, DAEMONS, self.now):
@@ -107,13 +109,13 @@
     def _ask(self, number: int, keeper: int, requests: int, is_answered: bool = True) -> None:
         daemon, asked = self.daemons[number], self.daemons[keeper]
         if daemon.earnings is not None:
-            daemon.lent.take(self.now)
+            daemon.unlent.take(self.now)
             daemon.earnings = None
         taken = 0
         while taken < requests and daemon.stock.take(self.shares, DAEMONS):
             taken += 1
-        asked.pool.lend(daemon.name, daemon.lent.take(self.now), DAEMONS, self.now)
-        room = daemon.stock.most(self.shares, DAEMONS)
+        asked.pool.lend(daemon.name, daemon.unlent.take(self.now), DAEMONS, self.now)
+        room = daemon.stock.max_tokens(self.shares, DAEMONS)
         wanted = requests - taken + room
         granted = asked.pool.take("t", self.shares, wanted, self.now, DAEMONS)
         if not is_answered:
@@ -141,7 +143,7 @@
     @rule(number=daemon_numbers, other=daemon_numbers, wanted=st.integers(1, 200))
     def a_keeper_asks_another(self, number: int, other: int, wanted: int) -> None:
         taken = self.daemons[other].pool.take("t", self.shares, wanted, self.now, DAEMONS)
-        self.daemons[number].pool.move_in("t", self.shares, taken, self.now, DAEMONS)
+        self.daemons[number].pool.add_transferred("t", self.shares, taken, self.now, DAEMONS)
 
     @rule(number=daemon_numbers, home=daemon_numbers, is_answered=st.booleans())
     def a_keeper_forwards_its_tokens(self, number: int, home: int, is_answered: bool) -> None:
@@ -209,7 +211,7 @@
     shares = quota_shares(Tenant("t", rate=40.0), margin)
     assert shares is not None
     pools = [QuotaPool() for _ in range(regions)]
-    lent = [LentTime(0.0) for _ in range(daemons)]
+    lent = [UnlentTime(0.0) for _ in range(daemons)]
     admitted = 0
     for step in range(1, 61):
         now = step * 0.5
